--- a/carawayhub/gateway/calls.py
+++ b/carawayhub/gateway/calls.py
@@ -74,7 +74,7 @@
 
     @property
     def priority(self) -> int:
-        """Priority of the request, 0 is the most urgent; that of its organisation has precedence."""
+        """Priority of the request, 0 is the most urgent; that of its organisation goes first."""
         if self.organisation is not None and self.organisation.priority is not None:
             return self.organisation.priority
         return self.route.priority
--- a/carawayhub/gateway/process.py
+++ b/carawayhub/gateway/process.py
@@ -47,8 +47,8 @@
 """Seconds between two checks of state that changes with time alone."""
 
 LIMIT_CLEANUP_SECONDS = 3.0
-"""Seconds between two removals of the limits of replicas that no longer exist. Each removal computes
-the keys of all endpoints."""
+"""Seconds between two removals of the limits of replicas that no longer exist. Each removal has to
+compute the keys of all endpoints."""
 
 READY_AGE_FRACTION = 0.7
 """Fraction of the time for which revoked keys may still be accepted, after which an entry without
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""Times of reading follow from the bounds that they serve."""
+"""Read times are derived from the bounds that they have to keep."""
 
 import unittest
 from dataclasses import fields, replace
@@ -16,39 +16,46 @@
 from carawayhub.platform.settings import PromiseBounds
 
 STORE_SECONDS = 0.02
-"""A call of a store that answers in a few milliseconds, over a connection of its own."""
+"""Duration of a call to a store that answers in a few milliseconds, over a new connection."""
 
-TOLD_SECONDS = {6: LEAST_INTERVAL, 45: 3 * LEAST_INTERVAL, 98: 3 * LEAST_INTERVAL}
-"""Seconds until all entries are told: directly, or by way of two delegates."""
+PROPAGATION_SECONDS = {6: LEAST_INTERVAL, 45: 3 * LEAST_INTERVAL, 98: 3 * LEAST_INTERVAL}
+"""Seconds until an update reaches all entries, by number of entries: directly, or through two
+delegates."""
 
-ASK_SECONDS = 0.01
+PEER_REQUEST_SECONDS = 0.01
 
 USUAL = Bounds(config_apply=2.0, drain=2.0, revoke_after=5.0)
 
 
-def reader_way(times: ReadTimes, told: float) -> float:
-    """Return the longest way of a change: one reader suspended, the other's watch silent."""
-    seen = times.proof_after + MAX_TURN_DELAY_SECONDS + STORE_SECONDS
-    read = WATCH_GRACE_SECONDS + STORE_SECONDS
-    return seen + read + told + PEER_REQUEST_JITTER_SECONDS + ASK_SECONDS
+def reader_path_seconds(times: ReadTimes, propagation_seconds: float) -> float:
+    """Return the longest time of a change: one reader suspended, the other's watch silent."""
+    seen_after = times.proof_after + MAX_TURN_DELAY_SECONDS + STORE_SECONDS
+    read_after = WATCH_GRACE_SECONDS + STORE_SECONDS
+    return (
+        seen_after
+        + read_after
+        + propagation_seconds
+        + PEER_REQUEST_JITTER_SECONDS
+        + PEER_REQUEST_SECONDS
+    )
 
 
-def fallback_way(times: ReadTimes) -> float:
-    """Return the longest way to an entry that is told nothing at all."""
-    proved = times.fallback_after + times.fallback_spread + STORE_SECONDS
-    return proved + PEER_REQUEST_JITTER_SECONDS + STORE_SECONDS
+def fallback_path_seconds(times: ReadTimes) -> float:
+    """Return the longest time of a change to an entry that receives no updates."""
+    proved_after = times.fallback_after + times.fallback_spread + STORE_SECONDS
+    return proved_after + PEER_REQUEST_JITTER_SECONDS + STORE_SECONDS
 
 
 class Derived(unittest.TestCase):
-    """The longest ways of a change stay under every bound."""
+    """The longest time of a change stays below every bound."""
 
     def test_longest_way_by_readers_is_under_one_and_a_half_seconds(self) -> None:
-        for entries, told in TOLD_SECONDS.items():
+        for entries, propagation_seconds in PROPAGATION_SECONDS.items():
             with self.subTest(entries=entries):
-                self.assertLess(reader_way(read_times(USUAL), told), 1.5)
+                self.assertLess(reader_path_seconds(read_times(USUAL), propagation_seconds), 1.5)
 
     def test_entry_that_is_told_nothing_keeps_the_bound(self) -> None:
-        self.assertLess(fallback_way(read_times(USUAL)), USUAL.config_apply)
+        self.assertLess(fallback_path_seconds(read_times(USUAL)), USUAL.config_apply)
 
     def test_the_shortest_bound_decides(self) -> None:
         for bounds in (
@@ -57,7 +64,7 @@
             Bounds(config_apply=9.0, drain=9.0, revoke_after=3.0),
         ):
             with self.subTest(bounds=bounds):
-                self.assertLess(fallback_way(read_times(bounds)), 1.5)
+                self.assertLess(fallback_path_seconds(read_times(bounds)), 1.5)
 
     def test_entries_do_not_call_while_readers_prove_in_time(self) -> None:
         times = read_times(USUAL)
@@ -66,10 +73,10 @@
 
 
 class Read(unittest.TestCase):
-    """Bounds that the platform states."""
+    """Bounds stated by the platform."""
 
     def test_every_bound_that_is_decoded_is_read(self) -> None:
-        """Guards against a promise whose bound is decoded and guarded by nothing."""
+        """Guards against a promise whose bound is decoded but not used."""
         source = Path(entry.__file__).read_text()
         for each in fields(PromiseBounds):
             with self.subTest(bound=each.name):
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -1,4 +1,4 @@
-"""Requests through a whole entry: HTTP in, scripted endpoints behind it."""
+"""Requests through a complete entry: HTTP callers in front, scripted endpoints behind it."""
 
 import random
 import time
@@ -39,8 +39,8 @@
 HOST = b"caraway.example"
 
 
-class Reply:
-    """What a caller got, byte for byte."""
+class CallerReply:
+    """The bytes that a caller received."""
 
     def __init__(self, data: bytes, seconds: float) -> None:
         self.head, _, self.body = data.partition(b"\r\n\r\n")
@@ -49,16 +49,16 @@
 
     @property
     def whole(self) -> bool:
-        """Whether a stream has its end."""
+        """Whether a stream is complete."""
         return self.body.endswith(b"0\r\n\r\n")
 
 
-class World:
-    """One entry before scripted endpoints.
+class EntryHarness:
+    """One entry with scripted endpoints.
 
     Args:
         scripts: A script for each endpoint.
-        options: What the route of ``/songs/`` is like.
+        options: Options of the route of ``/songs/``.
     """
 
     def __init__(self, scripts, **options) -> None:
@@ -67,14 +67,14 @@
         self.clock = SystemClock()
         self.view = FleetView(self.clock, 1.2)
 
-    def run(self, story) -> None:
+    def run(self, scenario) -> None:
         async def main() -> None:
             with anyio.fail_after(20.0):
                 async with anyio.create_task_group() as tasks:
                     for each in self.endpoints:
                         await tasks.start(each.serve)
                     await self._entry(tasks)
-                    await story(self)
+                    await scenario(self)
                     tasks.cancel_scope.cancel()
 
         try:
@@ -147,18 +147,18 @@
             + body
         )
 
-    async def ask(self, data: bytes | None = None) -> Reply:
-        """Send a request and return all that comes until the connection ends."""
+    async def send_request(self, data: bytes | None = None) -> CallerReply:
+        """Send a request and return everything received until the connection is closed."""
         began = time.monotonic()
         stream = await anyio.connect_tcp("127.0.0.1", self.port)
         async with stream:
             await stream.send(data if data is not None else self.request())
-            received = b""
+            data_received = b""
             try:
                 while True:
-                    received += await stream.receive()
+                    data_received += await stream.receive()
             except (anyio.EndOfStream, anyio.BrokenResourceError):
-                return Reply(received, time.monotonic() - began)
+                return CallerReply(data_received, time.monotonic() - began)
 
     def taken(self) -> list:
         return [taken for each in self.endpoints for taken in each.taken]
@@ -176,8 +176,8 @@
     raise ClosedError
 
 
-def forming(until: list[float]):
-    """Return the script of a rank whose group takes requests from a time on."""
+def forming_group(until: list[float]):
+    """Return the script of a rank whose group refuses requests until a given time."""
 
     async def script(stream, taken) -> None:
         if time.monotonic() < until[0]:
@@ -189,119 +189,121 @@
 
 
 class Refusing(unittest.TestCase):
-    """Engines that refuse all requests for a moment."""
+    """Engines that refuse all requests for a short time."""
 
     def test_request_waits_for_a_group_that_forms_anew(self) -> None:
-        """All VMs lose power. Callers whose streams broke come back, and are refused for good.
+        """After a power loss, entries are up half a second before the groups of engines.
 
-        Entries are up half a second before the groups of engines. A request used up its two
-        attempts within milliseconds, and its caller had no further try.
+        Guards against a request that uses up its two attempts within milliseconds. Its caller,
+        whose stream broke before, has no further try.
         """
         opens_at = [0.0]
 
-        async def story(world: World) -> None:
+        async def scenario(harness: EntryHarness) -> None:
             opens_at[0] = time.monotonic() + 0.6
             replies = []
 
-            async def ask() -> None:
-                replies.append(await world.ask())
+            async def send_request() -> None:
+                replies.append(await harness.send_request())
 
             async with anyio.create_task_group() as tasks:
                 for _ in range(5):
-                    tasks.start_soon(ask)
+                    tasks.start_soon(send_request)
             self.assertEqual([each.status for each in replies], [200] * 5)
             self.assertLess(max(each.seconds for each in replies), 1.4)
-            self.assertLess(len(world.taken()), 25)
+            self.assertLess(len(harness.taken()), 25)
 
-        World([forming(opens_at)] * 3).run(story)
+        EntryHarness([forming_group(opens_at)] * 3).run(scenario)
 
     def test_request_goes_to_no_more_endpoints_than_its_route_allows(self) -> None:
         opens_at = [0.0]
 
-        async def story(world: World) -> None:
+        async def scenario(harness: EntryHarness) -> None:
             opens_at[0] = time.monotonic() + 0.6
-            reply = await world.ask()
+            reply = await harness.send_request()
             self.assertEqual(reply.status, 200)
-            self.assertLessEqual(sum(1 for each in world.endpoints if each.taken), 2)
+            self.assertLessEqual(sum(1 for each in harness.endpoints if each.taken), 2)
 
-        World([forming(opens_at)] * 5, attempts=2).run(story)
+        EntryHarness([forming_group(opens_at)] * 5, attempts=2).run(scenario)
 
     def test_caller_is_told_at_once_when_engines_refuse_for_long(self) -> None:
-        """A group that does not come back: waiting for it would only hold its callers."""
+        """The group stays unavailable, so waiting for it would only delay its callers."""
         opens_at = [time.monotonic() + 60.0]
 
-        async def story(world: World) -> None:
-            await world.ask()
+        async def scenario(harness: EntryHarness) -> None:
+            await harness.send_request()
             await anyio.sleep(1.0)
-            reply = await world.ask()
+            reply = await harness.send_request()
             self.assertEqual(reply.status, 503)
             self.assertIn(b"retry-after", reply.head.lower())
             self.assertLess(reply.seconds, 0.5)
 
-        World([forming(opens_at)] * 2).run(story)
+        EntryHarness([forming_group(opens_at)] * 2).run(scenario)
 
     def test_refusing_endpoint_is_left_alone(self) -> None:
-        """One group of two lost a rank, and its other ranks are empty.
+        """One of two groups lost a rank, and its other ranks are idle.
 
-        The emptiest endpoints got every request and refused it.
+        Guards against sending every request to these least loaded endpoints, which refuse it.
         """
-        opens_at, open_now = [time.monotonic() + 60.0], [0.0]
+        opens_at, open_from_start = [time.monotonic() + 60.0], [0.0]
 
-        async def story(world: World) -> None:
+        async def scenario(harness: EntryHarness) -> None:
             for _ in range(12):
-                self.assertEqual((await world.ask()).status, 200)
-            self.assertLessEqual(len(world.endpoints[0].taken), 2)
+                self.assertEqual((await harness.send_request()).status, 200)
+            self.assertLessEqual(len(harness.endpoints[0].taken), 2)
 
-        World([forming(opens_at), forming(open_now)]).run(story)
+        EntryHarness([forming_group(opens_at), forming_group(open_from_start)]).run(scenario)
 
     def test_plain_service_that_was_full_is_asked_again(self) -> None:
-        """A plain service refuses while its queue is full, for milliseconds."""
+        """A plain service refuses requests only for milliseconds, while its queue is full."""
 
-        async def story(world: World) -> None:
-            await world.ask()
-            self.assertFalse(world.health.refusing("i-0"))
+        async def scenario(harness: EntryHarness) -> None:
+            await harness.send_request()
+            self.assertFalse(harness.health.refusing("i-0"))
 
-        World([refuses], repeat=Repeat.ONCE).run(story)
+        EntryHarness([refuses], repeat=Repeat.ONCE).run(scenario)
 
 
 class BrokenOff(unittest.TestCase):
-    """Answers that break off, of endpoints that ended and of others."""
+    """Broken answers, from endpoints that ended and from others."""
 
-    def broken(self, world: "World", path: bytes = b"/songs/1") -> dict:
-        """Ask once, and return what the entry saw of the endpoint's state."""
+    def broken_answer_state(self, harness: "EntryHarness", path: bytes = b"/songs/1") -> dict:
+        """Send one request, and return what the entry logged about the endpoint's state."""
         found = []
         sink = logger.add(lambda each: found.append(each.record), level="INFO")
 
-        async def story(world: World) -> None:
-            await world.ask(world.request(path=path))
+        async def scenario(harness: EntryHarness) -> None:
+            await harness.send_request(harness.request(path=path))
 
-        world.run(story)
+        harness.run(scenario)
         logger.remove(sink)
-        (looked,) = [each["extra"] for each in found if "listening" in each["extra"]]
-        return looked
+        (endpoint_state,) = [each["extra"] for each in found if "listening" in each["extra"]]
+        return endpoint_state
 
     def test_endpoint_that_ended_is_told_from_one_that_broke_a_connection(self) -> None:
-        """Operators saw "answer broke off" for a replica that had ended and for all its group.
+        """A rank ends, and 1.5 s later the live ranks of its group break off their requests.
 
-        A rank ends; 1.5 s later the other ranks break off what they had, and live. Which of the
-        requests was at the rank that ended could not be told.
+        Guards against logs that report all of them alike, so that operators cannot see which
+        request was at the rank that ended.
         """
-        world = World([closes], repeat=Repeat.ONCE)
-        self.assertEqual(self.broken(world)["listening"], "yes")
-        self.assertNotIn("_ends_total{", world.tally.page())
+        harness = EntryHarness([closes], repeat=Repeat.ONCE)
+        self.assertEqual(self.broken_answer_state(harness)["listening"], "yes")
+        self.assertNotIn("_ends_total{", harness.tally.page())
 
         async def ends(stream, taken) -> None:
-            world.endpoints[0].end()
+            harness.endpoints[0].end()
 
-        world = World([ends], repeat=Repeat.ONCE)
-        self.assertEqual(self.broken(world)["listening"], "no")
-        self.assertIn('cut_by_endpoint_ends_total{service="plain"} 1', world.tally.page())
+        harness = EntryHarness([ends], repeat=Repeat.ONCE)
+        self.assertEqual(self.broken_answer_state(harness)["listening"], "no")
+        self.assertIn('cut_by_endpoint_ends_total{service="plain"} 1', harness.tally.page())
 
     def test_request_that_comes_again_is_named_alike(self) -> None:
-        """Callers give each attempt a new id, so logs showed two attempts as two requests."""
-        first = self.broken(World([closes], repeat=Repeat.ONCE))
-        again = self.broken(World([closes], repeat=Repeat.ONCE))
-        other = self.broken(World([closes], repeat=Repeat.ONCE), path=b"/songs/2")
+        """Callers use a new id for each attempt, so only the content identifies a retry in logs."""
+        first = self.broken_answer_state(EntryHarness([closes], repeat=Repeat.ONCE))
+        again = self.broken_answer_state(EntryHarness([closes], repeat=Repeat.ONCE))
+        other = self.broken_answer_state(
+            EntryHarness([closes], repeat=Repeat.ONCE), path=b"/songs/2"
+        )
         self.assertEqual(first["content"], again["content"])
         self.assertNotEqual(first["content"], other["content"])
 
@@ -310,13 +312,13 @@
     """Services whose answers have a length."""
 
     def test_answer_comes_back_unchanged_and_headers_are_the_fleets(self) -> None:
-        async def story(world: World) -> None:
-            reply = await world.ask(
-                world.request(extra=b"Carawayhub-Tenant: forged\r\nX-Song: 7\r\n")
+        async def scenario(harness: EntryHarness) -> None:
+            reply = await harness.send_request(
+                harness.request(extra=b"Carawayhub-Tenant: forged\r\nX-Song: 7\r\n")
             )
             self.assertEqual((reply.status, reply.body), (200, b"ok"))
             self.assertIn(b"Response-Seal: s1".lower(), reply.head.lower())
-            (taken,) = world.taken()
+            (taken,) = harness.taken()
             self.assertEqual(taken.headers["carawayhub-tenant"], "armor")
             self.assertEqual(taken.headers["carawayhub-expect-instance"], "i-0")
             self.assertEqual(taken.headers["x-song"], "7")
@@ -324,141 +326,143 @@
             self.assertLessEqual(int(taken.headers["carawayhub-request-deadline"]), 3000)
             self.assertEqual(taken.body, b"tempo")
 
-        World([answers], repeat=Repeat.ONCE).run(story)
+        EntryHarness([answers], repeat=Repeat.ONCE).run(scenario)
 
     def test_path_is_forwarded_byte_for_byte(self) -> None:
         path = b"/songs/a;v=1/b;x?q=%20a&b=;c"
 
-        async def story(world: World) -> None:
-            await world.ask(world.request(b"GET", path))
-            self.assertEqual(world.taken()[0].line.encode(), b"GET " + path + b" HTTP/1.1")
+        async def scenario(harness: EntryHarness) -> None:
+            await harness.send_request(harness.request(b"GET", path))
+            self.assertEqual(harness.taken()[0].line.encode(), b"GET " + path + b" HTTP/1.1")
 
-        World([answers], repeat=Repeat.IDEMPOTENT).run(story)
+        EntryHarness([answers], repeat=Repeat.IDEMPOTENT).run(scenario)
 
     def test_booking_that_lost_its_answer_is_not_sent_again(self) -> None:
-        """An endpoint takes a booking and resets the connection.
+        """An endpoint receives a booking and resets the connection.
 
-        Whether it ran is unknown. Sending it to another endpoint could book twice, and 503 would
-        say that it did not run.
+        It is unknown whether the booking ran. Sending it to another endpoint could book twice, and
+        a 503 would state that it did not run.
         """
 
-        async def story(world: World) -> None:
-            reply = await world.ask()
+        async def scenario(harness: EntryHarness) -> None:
+            reply = await harness.send_request()
             self.assertEqual(reply.status, 502)
-            self.assertEqual(len(world.taken()), 1)
+            self.assertEqual(len(harness.taken()), 1)
 
-        World([closes, closes], repeat=Repeat.ONCE).run(story)
+        EntryHarness([closes, closes], repeat=Repeat.ONCE).run(scenario)
 
     def test_booking_that_was_refused_goes_to_another_endpoint(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(harness: EntryHarness) -> None:
             for _ in range(4):
-                reply = await world.ask()
+                reply = await harness.send_request()
                 self.assertEqual(reply.status, 200)
 
-        World([refuses, answers], repeat=Repeat.ONCE).run(story)
+        EntryHarness([refuses, answers], repeat=Repeat.ONCE).run(scenario)
 
     def test_refusal_of_all_endpoints_is_a_503_with_a_time(self) -> None:
-        async def story(world: World) -> None:
-            reply = await world.ask()
+        async def scenario(harness: EntryHarness) -> None:
+            reply = await harness.send_request()
             self.assertEqual(reply.status, 503)
             self.assertIn(b"retry-after", reply.head.lower())
-            self.assertEqual(len(world.taken()), 2)
+            self.assertEqual(len(harness.taken()), 2)
             self.assertLess(reply.seconds, 1.0)
 
-        World([refuses, refuses], repeat=Repeat.ONCE).run(story)
+        EntryHarness([refuses, refuses], repeat=Repeat.ONCE).run(scenario)
 
     def test_lookup_that_lost_its_answer_is_sent_again(self) -> None:
-        async def story(world: World) -> None:
+        async def scenario(harness: EntryHarness) -> None:
             for _ in range(4):
-                self.assertEqual((await world.ask(world.request(b"GET"))).status, 200)
+                self.assertEqual((await harness.send_request(harness.request(b"GET"))).status, 200)
 
-        World([closes, answers], repeat=Repeat.IDEMPOTENT).run(story)
+        EntryHarness([closes, answers], repeat=Repeat.IDEMPOTENT).run(scenario)
 
     def test_lookup_at_a_silent_endpoint_is_sent_to_another_in_time(self) -> None:
         async def silent(stream, taken) -> None:
             await anyio.sleep_forever()
 
-        async def story(world: World) -> None:
-            reply = await world.ask(world.request(b"GET"))
+        async def scenario(harness: EntryHarness) -> None:
+            reply = await harness.send_request(harness.request(b"GET"))
             self.assertEqual(reply.status, 200)
             self.assertLess(reply.seconds, 0.8)
 
-        World([silent, answers], repeat=Repeat.IDEMPOTENT, timeout=0.8).run(story)
+        EntryHarness([silent, answers], repeat=Repeat.IDEMPOTENT, timeout=0.8).run(scenario)
 
     def test_answer_of_another_request_never_reaches_the_caller(self) -> None:
-        """An endpoint sends the answer of an earlier request where this one's is due."""
+        """An endpoint sends the answer to an earlier request in place of this one's."""
 
         async def crossed(stream, taken) -> None:
             taken.headers["carawayhub-request-id"] = "q0"
             await stream.send(whole(taken, b"somebody else's"))
 
-        async def story(world: World) -> None:
-            reply = await world.ask()
+        async def scenario(harness: EntryHarness) -> None:
+            reply = await harness.send_request()
             self.assertEqual(reply.status, 502)
             self.assertNotIn(b"somebody", reply.body)
 
-        World([crossed], repeat=Repeat.ONCE).run(story)
+        EntryHarness([crossed], repeat=Repeat.ONCE).run(scenario)
 
     def test_answer_without_a_seal_is_not_passed_on(self) -> None:
         async def unsealed(stream, taken) -> None:
             await stream.send(whole(taken, extra=b""))
 
-        async def story(world: World) -> None:
-            self.assertEqual((await world.ask()).status, 502)
+        async def scenario(harness: EntryHarness) -> None:
+            self.assertEqual((await harness.send_request()).status, 502)
 
-        World([unsealed], repeat=Repeat.ONCE).run(story)
+        EntryHarness([unsealed], repeat=Repeat.ONCE).run(scenario)
 
     def test_second_copy_of_an_answer_is_no_answer_to_the_next_request(self) -> None:
         async def doubled(stream, taken) -> None:
             await stream.send(whole(taken, b"once") + whole(taken, b"twice"))
 
-        async def story(world: World) -> None:
+        async def scenario(harness: EntryHarness) -> None:
             for _ in range(3):
-                self.assertEqual((await world.ask(world.request(b"GET"))).body, b"once")
+                self.assertEqual(
+                    (await harness.send_request(harness.request(b"GET"))).body, b"once"
+                )
 
-        World([doubled], repeat=Repeat.IDEMPOTENT).run(story)
+        EntryHarness([doubled], repeat=Repeat.IDEMPOTENT).run(scenario)
 
     def test_cut_answer_is_not_passed_on_as_whole(self) -> None:
         async def cut(stream, taken) -> None:
             await stream.send(whole(taken, b"a long answer")[:-4])
             raise ClosedError
 
-        async def story(world: World) -> None:
-            self.assertEqual((await world.ask()).status, 502)
+        async def scenario(harness: EntryHarness) -> None:
+            self.assertEqual((await harness.send_request()).status, 502)
 
-        World([cut], repeat=Repeat.ONCE).run(story)
+        EntryHarness([cut], repeat=Repeat.ONCE).run(scenario)
 
     def test_failure_of_an_endpoint_comes_back_as_it_is(self) -> None:
         async def fails(stream, taken) -> None:
             await stream.send(whole(taken, b"no", "500 Internal Server Error"))
 
-        async def story(world: World) -> None:
-            reply = await world.ask()
+        async def scenario(harness: EntryHarness) -> None:
+            reply = await harness.send_request()
             self.assertEqual((reply.status, reply.body), (500, b"no"))
 
-        World([fails], repeat=Repeat.ONCE).run(story)
+        EntryHarness([fails], repeat=Repeat.ONCE).run(scenario)
 
     def test_silent_booking_ends_at_the_time_of_its_route(self) -> None:
         async def silent(stream, taken) -> None:
             await anyio.sleep_forever()
 
-        async def story(world: World) -> None:
-            reply = await world.ask()
+        async def scenario(harness: EntryHarness) -> None:
+            reply = await harness.send_request()
             self.assertIn(reply.status, (502, 504))
             self.assertLess(reply.seconds, 0.9)
 
-        World([silent], repeat=Repeat.ONCE, timeout=0.4).run(story)
+        EntryHarness([silent], repeat=Repeat.ONCE, timeout=0.4).run(scenario)
 
     def test_endpoint_that_left_gets_nothing_even_if_it_was_chosen_before(self) -> None:
-        """An endpoint drains while a request for it waits to be sent."""
+        """An endpoint starts to drain while a request for it waits to be sent."""
 
-        async def story(world: World) -> None:
-            world.view.misdirected("i-0")
-            reply = await world.ask()
+        async def scenario(harness: EntryHarness) -> None:
+            harness.view.misdirected("i-0")
+            reply = await harness.send_request()
             self.assertEqual(reply.status, 503)
-            self.assertEqual(world.taken(), [])
+            self.assertEqual(harness.taken(), [])
 
-        World([answers], repeat=Repeat.ONCE).run(story)
+        EntryHarness([answers], repeat=Repeat.ONCE).run(scenario)
 
 
 class Streams(unittest.TestCase):
@@ -471,44 +475,44 @@
                 await stream.send(chunk(event(number)))
             await stream.send(chunk(b""))
 
-        async def story(world: World) -> None:
-            reply = await world.ask()
+        async def scenario(harness: EntryHarness) -> None:
+            reply = await harness.send_request()
             self.assertTrue(reply.whole)
             for number in range(1, 6):
                 self.assertEqual(reply.body.count(event(number)), 1)
-            self.assertEqual(world.loads.own(), {})
+            self.assertEqual(harness.loads.own(), {})
 
-        World([events]).run(story)
+        EntryHarness([events]).run(scenario)
 
     def test_broken_stream_goes_on_at_another_endpoint(self) -> None:
-        """An endpoint crashes within event 3; each event reaches the caller once, in order."""
+        """An endpoint crashes within event 3; the caller receives each event once, in order."""
 
         async def breaks(stream, taken) -> None:
             if "last-event-id" in taken.headers:
-                return await goes_on(stream, taken)
+                return await resumes(stream, taken)
             await stream.send(stream_head(taken) + chunk(event(1)) + chunk(event(2)))
             await stream.send(chunk(event(3)[:9]))
             await anyio.sleep(0.05)
             raise ClosedError
 
-        async def goes_on(stream, taken) -> None:
+        async def resumes(stream, taken) -> None:
             start = int(taken.headers["last-event-id"]) + 1
             await stream.send(stream_head(taken))
             for number in range(start, 6):
                 await stream.send(chunk(event(number)))
             await stream.send(chunk(b""))
 
-        async def story(world: World) -> None:
-            reply = await world.ask()
+        async def scenario(harness: EntryHarness) -> None:
+            reply = await harness.send_request()
             self.assertTrue(reply.whole)
-            places = [reply.body.index(event(number)) for number in range(1, 6)]
-            self.assertEqual(places, sorted(places))
+            positions = [reply.body.index(event(number)) for number in range(1, 6)]
+            self.assertEqual(positions, sorted(positions))
             self.assertEqual([reply.body.count(event(number)) for number in range(1, 6)], [1] * 5)
-            resumed = [t.headers.get("last-event-id") for t in world.taken()]
+            resumed = [t.headers.get("last-event-id") for t in harness.taken()]
             resumed = [each for each in resumed if each]
             self.assertEqual(resumed, ["2"])
 
-        World([breaks, breaks]).run(story)
+        EntryHarness([breaks, breaks]).run(scenario)
 
     def test_stream_that_cannot_go_on_does_not_look_whole(self) -> None:
         async def breaks(stream, taken) -> None:
@@ -516,13 +520,13 @@
             await anyio.sleep(0.05)
             raise ClosedError
 
-        async def story(world: World) -> None:
-            reply = await world.ask()
+        async def scenario(harness: EntryHarness) -> None:
+            reply = await harness.send_request()
             self.assertEqual(reply.status, 200)
             self.assertIn(event(1), reply.body)
             self.assertFalse(reply.whole)
 
-        World([breaks]).run(story)
+        EntryHarness([breaks]).run(scenario)
 
     def test_failure_before_the_first_event_goes_to_another_endpoint(self) -> None:
         async def fails(stream, taken) -> None:
@@ -531,16 +535,16 @@
         async def events(stream, taken) -> None:
             await stream.send(stream_head(taken) + chunk(event(1)) + chunk(b""))
 
-        async def story(world: World) -> None:
+        async def scenario(harness: EntryHarness) -> None:
             for _ in range(4):
-                self.assertEqual((await world.ask()).status, 200)
+                self.assertEqual((await harness.send_request()).status, 200)
 
-        World([fails, events]).run(story)
+        EntryHarness([fails, events]).run(scenario)
 
     def test_endpoint_that_never_answers_is_found_out_though_callers_leave(self) -> None:
-        """An endpoint takes requests and says nothing, while its health check is good.
+        """An endpoint accepts requests and never answers, while its health check succeeds.
 
-        Callers leave after a second. It is idle, so it would be chosen again and again.
+        Callers disconnect after a second. As the endpoint looks idle, it would be chosen again.
         """
 
         async def silent(stream, taken) -> None:
@@ -549,18 +553,18 @@
         async def events(stream, taken) -> None:
             await stream.send(stream_head(taken) + chunk(event(1)) + chunk(b""))
 
-        async def story(world: World) -> None:
+        async def scenario(harness: EntryHarness) -> None:
             for _ in range(6):
                 with anyio.move_on_after(0.9):
-                    await world.ask()
+                    await harness.send_request()
             await anyio.sleep(0.1)
-            self.assertGreater(world.health.errors("i-0"), 0.1)
-            self.assertEqual(world.health.errors("i-1"), 0.0)
+            self.assertGreater(harness.health.errors("i-0"), 0.1)
+            self.assertEqual(harness.health.errors("i-1"), 0.0)
 
-        World([silent, events]).run(story)
+        EntryHarness([silent, events]).run(scenario)
 
     def test_caller_that_leaves_frees_its_endpoint_at_once(self) -> None:
-        """A caller closes its connection between two events, and before the first."""
+        """A caller closes its connection after the first event."""
 
         async def slow(stream, taken) -> None:
             await stream.send(stream_head(taken) + chunk(event(1)))
@@ -570,21 +574,21 @@
                 taken.left.set()
             raise ClosedError
 
-        async def story(world: World) -> None:
-            stream = await anyio.connect_tcp("127.0.0.1", world.port)
-            await stream.send(world.request())
+        async def scenario(harness: EntryHarness) -> None:
+            stream = await anyio.connect_tcp("127.0.0.1", harness.port)
+            await stream.send(harness.request())
             await stream.receive()
             await stream.aclose()
             with anyio.fail_after(0.4):
-                await world.taken()[0].left.wait()
-            while world.loads.own():
+                await harness.taken()[0].left.wait()
+            while harness.loads.own():
                 await anyio.sleep(0.01)
 
-        World([slow]).run(story)
+        EntryHarness([slow]).run(scenario)
 
 
 class Strangers(unittest.TestCase):
-    """Requests that no honest caller sends."""
+    """Malformed requests."""
 
     def test_nothing_reaches_an_endpoint(self) -> None:
         bad = [
@@ -596,23 +600,23 @@
             b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n",
         ]
 
-        async def story(world: World) -> None:
+        async def scenario(harness: EntryHarness) -> None:
             for data in bad:
-                reply = await world.ask(data)
+                reply = await harness.send_request(data)
                 self.assertEqual(reply.status, 400, data)
-            self.assertEqual(world.taken(), [])
+            self.assertEqual(harness.taken(), [])
 
-        World([answers], repeat=Repeat.ONCE).run(story)
+        EntryHarness([answers], repeat=Repeat.ONCE).run(scenario)
 
     def test_unreadable_deadline_is_refused_with_its_number(self) -> None:
-        async def story(world: World) -> None:
-            data = world.request().replace(b"Deadline: 3000", b"Deadline: soon")
-            reply = await world.ask(data)
+        async def scenario(harness: EntryHarness) -> None:
+            data = harness.request().replace(b"Deadline: 3000", b"Deadline: soon")
+            reply = await harness.send_request(data)
             self.assertEqual(reply.status, 400)
             self.assertIn(b"2008", reply.body)
-            self.assertEqual(world.taken(), [])
+            self.assertEqual(harness.taken(), [])
 
-        World([answers], repeat=Repeat.ONCE).run(story)
+        EntryHarness([answers], repeat=Repeat.ONCE).run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/test_gateway_view.py
+++ b/tests/test_gateway_view.py
@@ -1,4 +1,4 @@
-"""What an entry believes of the published state, and for how long."""
+"""The published state as known to an entry, and how long it counts as valid."""
 
 import random
 import unittest
@@ -57,9 +57,9 @@
         return {each.id for each in self.view.serving("llm")}
 
     def test_configuration_never_goes_back(self) -> None:
-        """The store comes back with old history and serves a configuration that was replaced.
+        """The store is available again with old history and serves a replaced configuration.
 
-        A caller whose route was added since would get 404.
+        Callers of a route that was added since would get 404.
         """
         self.view.extend(published(6, TablePublished(table(2))))
         self.assertEqual(self.view.table.version, 3)
@@ -82,10 +82,10 @@
         self.assertEqual(self.serving(), {"i-2"})
 
     def test_lapsed_entries_stay_in_use_until_they_should_be_back(self) -> None:
-        """The store is away for four seconds, in which no endpoint can renew its entry.
+        """The store is unavailable for four seconds, so no endpoint can renew its entry.
 
-        All lapse. An entry that believed that would refuse every caller until they are
-        back.
+        All entries lapse. Treating them as removed would refuse every caller until they are
+        renewed.
         """
         self.view.failed(self.clock.monotonic())
         self.clock.advance(4.0)
@@ -98,9 +98,9 @@
         self.assertIsNone(self.view.endpoint("i-1"))
 
     def test_successor_at_an_address_ends_the_one_before(self) -> None:
-        """A replica crashes and another starts at its address.
+        """A replica crashes and another one starts at its address.
 
-        The entry of the first stays for three heartbeats, and each request sent for it is
+        The entry of the first remains for three heartbeats, in which each request sent to it is
         refused.
         """
         self.view.misdirected("i-1")
@@ -108,10 +108,10 @@
         self.assertEqual(self.serving(), {"i-2"})
 
     def test_entry_left_by_a_crash_gets_nothing_once_its_successor_is_there(self) -> None:
-        """After a loss of power, callers that came back were refused though engines were up.
+        """After a power loss, callers that retry must not be refused while engines are up.
 
-        The entries of all replicas stay for three heartbeats while their successors register at the
-        same addresses. Requests were sent for the former ones, two in a row, and given up.
+        The entries of all replicas remain for three heartbeats, while their successors register at
+        the same addresses. A request sent to two former replicas in a row has used up its attempts.
         """
         self.view.extend(
             published(
@@ -124,7 +124,7 @@
         self.assertIsNone(self.view.endpoint("i-1"))
 
     def test_renewed_entry_does_not_end_its_successor(self) -> None:
-        """The last heartbeat of the former one comes late, but its entry was made first."""
+        """The last heartbeat of the former replica is late, but its entry was registered first."""
         for name, registered in (("i-9", 7), ("i-1", 3)):
             entry = endpoint(name, address="10.0.0.1:80", registered=registered)
             self.view.extend(published(8, EndpointPublished(entry)))
@@ -147,11 +147,11 @@
 
 
 class FakeState:
-    """A published state whose watch can be deaf and whose reads can fail."""
+    """A published state whose watch can stall and whose reads can fail."""
 
     def __init__(self) -> None:
         self.now = 1
-        self.deaf = False
+        self.watch_stalled = False
         self.cut = False
         self.down = False
         self.snapshots = 0
@@ -172,12 +172,12 @@
     async def changes(self, after: int, wait: float) -> Published | None:
         self.reads += 1
         with anyio.move_on_after(wait):
-            while (self.deaf or self.now <= after) and not self.cut:
+            while (self.watch_stalled or self.now <= after) and not self.cut:
                 await self.changed.wait()
         if self.cut:
             raise PlatformError(Code.PLATFORM_UNREACHABLE, "cut")
         await self._answer()
-        if self.deaf:
+        if self.watch_stalled:
             return published(after)
         return published(self.now, TablePublished(table(self.now)))
 
@@ -202,18 +202,18 @@
     def setUp(self) -> None:
         self.first = True
         self.peers: FakeState | None = None
-        self.asked = 0
+        self.peer_requests = 0
         self.propagation_seconds = 0.0
 
-    async def beyond(self, revision: int) -> Handed | None:
-        """Answer as peers do that know all that is published, None while there are none."""
-        self.asked += 1
+    async def fetch_changes(self, revision: int) -> Handed | None:
+        """Answer like peers that know the complete published state, None while there are none."""
+        self.peer_requests += 1
         await anyio.sleep(0.002)
         if self.peers is None or self.peers.now <= revision:
             return None
         return Handed(published(self.peers.now, TablePublished(table(self.peers.now))), True)
 
-    def follow(self, story, *, reads: bool = True) -> tuple[FleetView, FakeState]:
+    def run_follower(self, scenario, *, reads: bool = True) -> tuple[FleetView, FakeState]:
         async def main() -> None:
             clock = LoopClock()
             self.state = FakeState()
@@ -226,55 +226,54 @@
                     random.Random(1),
                     TIMES,
                     lambda: reads,
-                    self.beyond,
+                    self.fetch_changes,
                     first=self.first,
                     propagation_seconds=lambda: self.propagation_seconds,
                 )
                 self.follower = follower
                 tasks.start_soon(follower.run)
                 await anyio.sleep(PROOF_SECONDS)
-                await story()
+                await scenario()
                 tasks.cancel_scope.cancel()
 
         anyio.run(main, backend_options={"loop_factory": VirtualTimeLoop})
         return self.view, self.state
 
     def test_change_is_in_force_at_once(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             self.state.change()
             await anyio.sleep(0.05)
             self.assertEqual(self.view.table.version, 2)
 
-        self.follow(story)
+        self.run_follower(scenario)
 
     def test_quiet_store_keeps_the_view_fresh(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             await anyio.sleep(30.0)
             self.assertLess(self.view.age, PROOF_SECONDS + 0.1)
 
-        self.follow(story)
+        self.run_follower(scenario)
         self.assertEqual(self.state.snapshots, 1)
 
     def test_deaf_watch_is_found_out(self) -> None:
-        """A watch that brings nothing is not believed.
+        """A watch stays open but delivers nothing while the configuration changes.
 
-        It stays open while the configuration changes: a key that was taken away would go on
-        opening doors. The next proof names a revision that the watch has not reached, so everything
-        is read anew.
+        A revoked key would still be accepted. The next proof reports a revision that the watch has
+        not reached, so the complete state is read again.
         """
 
-        async def story() -> None:
-            self.state.deaf = True
+        async def scenario() -> None:
+            self.state.watch_stalled = True
             self.state.change()
             await anyio.sleep(PROOF_SECONDS + CATCH_UP_SECONDS + 0.1)
             self.assertEqual(self.view.table.version, 2)
 
-        self.follow(story)
+        self.run_follower(scenario)
 
     def test_entry_that_hears_of_others_reads_only_changes(self) -> None:
-        """One entry of a failure domain reads for all; the others are told of changes."""
+        """One entry of a failure domain reads for all; the others receive the changes."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             reads = self.state.reads
             for _ in range(40):
                 self.view.confirm_revision(self.state.now, anyio.current_time())
@@ -287,16 +286,15 @@
             self.assertEqual(self.state.reads, reads + 1)
             self.assertEqual(self.view.table.version, 2)
 
-        self.follow(story, reads=False)
+        self.run_follower(scenario, reads=False)
 
     def test_changes_in_a_row_are_read_together(self) -> None:
-        """All endpoints start, one every 70 ms, and each of 40 entries reads after each of them.
+        """All endpoints start, one every 70 ms, and each of 40 entries would read after each.
 
-        Calls have a price and a rate that all entries share: 919 of the 1,251 calls of a quiet day
-        were made in the five seconds of the start.
+        Calls have a cost and a rate limit that all entries share.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             reads = self.state.reads
             for _ in range(70):
                 self.state.change()
@@ -307,10 +305,10 @@
             await anyio.sleep(1.0)
             self.assertEqual(self.view.table.version, self.state.now)
 
-        self.follow(story, reads=False)
+        self.run_follower(scenario, reads=False)
 
     def test_watch_takes_changes_in_a_row_together(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             reads = self.state.reads
             for _ in range(100):
                 self.state.change()
@@ -319,42 +317,42 @@
             await anyio.sleep(0.1)
             self.assertEqual(self.view.table.version, self.state.now)
 
-        self.follow(story)
+        self.run_follower(scenario)
 
     def test_proof_of_a_newer_revision_proves_nothing_here(self) -> None:
-        """A peer knows that a key was taken away; this entry does not, and must not seem fresh."""
+        """A peer knows that a key was revoked; this entry does not, and must not count as fresh."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             age = self.view.age
             self.view.confirm_revision(self.state.now + 1, anyio.current_time())
             self.assertEqual(self.view.age, age)
 
-        self.follow(story, reads=False)
+        self.run_follower(scenario, reads=False)
 
     def test_entry_whose_peers_fall_silent_reads_for_itself(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             await anyio.sleep(8.0)
             self.assertLess(self.view.age, FALLBACK_SECONDS + PROOF_SECONDS)
 
-        self.follow(story, reads=False)
+        self.run_follower(scenario, reads=False)
 
     def test_slow_news_of_a_large_fleet_are_no_lack_of_news(self) -> None:
-        """Guards against hundreds of entries that all call the store, as proofs reach them late."""
+        """Guards against hundreds of entries that all call the store since proofs arrive late."""
         self.propagation_seconds = 1.5
 
-        async def story() -> None:
+        async def scenario() -> None:
             reads = self.state.reads
             for _ in range(20):
                 self.view.confirm_revision(self.state.now, anyio.current_time() - 1.3)
                 await anyio.sleep(1.0)
             self.assertEqual(self.state.reads, reads)
 
-        self.follow(story, reads=False)
+        self.run_follower(scenario, reads=False)
 
     def test_changes_that_a_peer_knows_are_not_read_from_the_store(self) -> None:
-        """98 entries each read every change: 2,609 calls on a quiet day, each with a price."""
+        """Guards against 98 entries that each read every change, as each call has a cost."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             self.peers = self.state
             reads = self.state.reads
             for _ in range(20):
@@ -365,37 +363,37 @@
                 self.view.confirm_revision(self.state.now, anyio.current_time())
             self.assertEqual(self.state.reads, reads)
 
-        self.follow(story, reads=False)
+        self.run_follower(scenario, reads=False)
 
     def test_entry_that_starts_learns_from_a_peer_what_is_published(self) -> None:
-        """All VMs lose power, start at one moment, and each entry lists all that is published."""
+        """Guards against every entry listing the complete state when all VMs start at once."""
         self.first = False
 
-        async def story() -> None:
+        async def scenario() -> None:
             self.assertEqual(self.view.table.version, 1)
 
-        async def peers_are_met(revision: int) -> Handed | None:
+        async def fetch_once_peers_are_up(revision: int) -> Handed | None:
             if anyio.current_time() > 0.3:
                 self.peers = self.state
-            return await Follow.beyond(self, revision)
+            return await Follow.fetch_changes(self, revision)
 
-        self.beyond = peers_are_met
-        self.follow(story, reads=False)
+        self.fetch_changes = fetch_once_peers_are_up
+        self.run_follower(scenario, reads=False)
         self.assertEqual(self.state.snapshots, 0)
 
     def test_entry_that_meets_nobody_reads_for_itself(self) -> None:
         self.first = False
 
-        async def story() -> None:
+        async def scenario() -> None:
             self.assertEqual(self.view.table.version, 1)
 
-        self.follow(story, reads=False)
+        self.run_follower(scenario, reads=False)
         self.assertEqual(self.state.snapshots, 1)
 
     def test_proof_of_a_revision_counts_once_that_is_known(self) -> None:
-        """Guards against entries that seem old while changes follow each other closely."""
+        """Guards against entries that count as outdated while changes follow each other closely."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             self.state.change()
             proved_at = anyio.current_time()
             self.view.confirm_revision(self.state.now, proved_at)
@@ -403,25 +401,25 @@
             self.view.extend(published(self.state.now, TablePublished(table(2))))
             self.assertEqual(self.view.confirmed_at, proved_at)
 
-        self.follow(story, reads=False)
+        self.run_follower(scenario, reads=False)
 
     def test_reader_that_hears_of_a_change_does_not_wait_for_its_own_watch(self) -> None:
-        """Guards against a reader that is deaf to its peers while its watch is silent."""
+        """Guards against a reader that ignores its peers while its own watch is silent."""
 
-        async def story() -> None:
-            self.state.deaf = True
+        async def scenario() -> None:
+            self.state.watch_stalled = True
             self.state.change()
             self.peers = self.state
             self.follower.note_revision(self.state.now)
             await anyio.sleep(0.1)
             self.assertEqual(self.view.table.version, self.state.now)
 
-        self.follow(story)
+        self.run_follower(scenario)
 
     def test_entry_that_the_store_turns_away_asks_its_peers(self) -> None:
-        """Guards against an entry whose read failed and that waits for the store alone."""
+        """Guards against an entry that waits only for the store after a read failed."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             self.state.down = True
             for _ in range(8):
                 self.state.change()
@@ -437,76 +435,76 @@
                 await anyio.sleep(0.2)
                 self.assertEqual(self.view.table.version, self.state.now)
 
-        self.follow(story)
+        self.run_follower(scenario)
 
     def test_peer_that_names_a_revision_which_does_not_exist_costs_few_reads(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             reads = self.state.reads
             for _ in range(100):
                 self.follower.note_revision(self.state.now + 1)
                 await anyio.sleep(0.1)
             self.assertLessEqual(self.state.reads - reads, 30)
 
-        self.follow(story)
+        self.run_follower(scenario)
 
     def test_listing_that_was_overtaken_takes_nothing_back(self) -> None:
-        """Guards against a listing that ends after a change which a watch or peer had brought."""
+        """Guards against a listing that ends after a watch or peer delivered a later change."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             self.state.change()
             await anyio.sleep(0.1)
             old = published(1, TablePublished(table(1)))
 
-            async def overtaken() -> Published:
+            async def stale_snapshot() -> Published:
                 return old
 
-            self.state.snapshot = overtaken
+            self.state.snapshot = stale_snapshot
             await self.follower._read_all()
             self.assertEqual((self.view.revision, self.view.table.version), (2, 2))
 
-        self.follow(story)
+        self.run_follower(scenario)
 
     def test_peer_that_is_behind_changes_nothing(self) -> None:
-        """A peer answers late with what it knew before. A configuration must not go back."""
+        """A peer answers late with an older state. The configuration must not revert to it."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             self.state.change()
             await anyio.sleep(0.1)
             revision = self.view.revision
             old = Handed(published(1, TablePublished(table(1))), True)
 
-            async def late(revision: int) -> Handed | None:
+            async def stale_update(revision: int) -> Handed | None:
                 return old
 
-            self.follower._fetch_changes = late
+            self.follower._fetch_changes = stale_update
             self.assertFalse(await self.follower._apply_from_peers())
             self.assertEqual(self.view.revision, revision)
 
-        self.follow(story)
+        self.run_follower(scenario)
 
     def test_entries_without_news_do_not_call_a_store_that_is_away_all_the_time(self) -> None:
-        """The store is down for ten seconds, and every process calls it ten times a second.
+        """The store is down for ten seconds, and every process would call it ten times a second.
 
-        Calls that are refused have a price as well, and the store comes back under that load.
+        Refused calls have a cost as well, and the store would have to recover under that load.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             self.state.down = True
             reads, touches = self.state.reads, self.state.touches
             await anyio.sleep(10.0)
             calls = self.state.reads - reads + self.state.touches - touches
             self.assertLessEqual(calls, 25)
 
-        self.follow(story, reads=False)
+        self.run_follower(scenario, reads=False)
 
     def test_cut_watch_is_no_outage(self) -> None:
-        """The store cuts a watch that has waited for seconds, and serves everything else.
+        """The store cuts a watch that has waited for seconds, and serves all other calls.
 
-        An entry that took the whole wait for an outage left the directories, and kept sending to
-        endpoints that were removed since, as if their entries had lapsed.
+        An entry that counts the wait as an outage would leave the directories, and would still send
+        requests to endpoints removed since, as if their entries had only lapsed.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             await anyio.sleep(4.0)
             self.state.cut = True
             self.state.changed.set()
@@ -518,10 +516,10 @@
             self.assertEqual(self.view.grace, 0.0)
             self.assertEqual(self.view.unanswered_seconds, 0.0)
 
-        self.follow(story)
+        self.run_follower(scenario)
 
     def test_age_grows_while_the_store_is_down(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             self.state.down = True
             await anyio.sleep(6.0)
             self.assertGreater(self.view.age, 6.0)
@@ -529,7 +527,7 @@
             await anyio.sleep(2.0)
             self.assertLess(self.view.age, 2.0)
 
-        self.follow(story)
+        self.run_follower(scenario)
 
 
 if __name__ == "__main__":
