--- a/carawayhub/gateway/follower.py
+++ b/carawayhub/gateway/follower.py
@@ -30,8 +30,8 @@
 
 PEER_WAIT_SECONDS = 0.8
 """Longest time for which a starting entry waits for a peer that knows the published state. The VMs
-of a fleet start within 0.3 s of each other and need the same time to be up. A peer that answers
-sends the state at once."""
+of a fleet start within 0.3 s of each other and need the same time to be up. A peer that is
+reached knows the state at once."""
 
 PEER_POLL_SECONDS = 0.03
 """Seconds between two polls for such a peer."""
--- a/carawayhub/gateway/view.py
+++ b/carawayhub/gateway/view.py
@@ -376,15 +376,15 @@
 
     def _rebuild(self) -> None:
         found: dict[str, list[Endpoint]] = {}
-        still: dict[str, list[Endpoint]] = {}
+        unavailable: dict[str, list[Endpoint]] = {}
         self._superseded = superseded(filter(self._is_service_configured, self._endpoints.values()))
         self._group_status.take(self._endpoints.values())
         for each in self._endpoints.values():
             if each.state is EndpointState.READY and each.id not in self._superseded:
-                names = found if self._group_status.stands(each) else still
+                names = found if self._group_status.stands(each) else unavailable
                 names.setdefault(each.service, []).append(each)
         self._by_service = {name: tuple(each) for name, each in found.items()}
-        self._unavailable = {name: tuple(each) for name, each in still.items()}
+        self._unavailable = {name: tuple(each) for name, each in unavailable.items()}
 
     def _log_unreadable(self, published: Published) -> None:
         for problem in published.unreadable:
