--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -29,21 +29,15 @@
 
 def reader_path_seconds(times: ReadTimes, propagation_seconds: float) -> float:
     """Return the longest time of a change: one reader suspended, the other's watch silent."""
-    seen_after = times.proof_after + MAX_TURN_DELAY_SECONDS + STORE_SECONDS
-    read_after = WATCH_GRACE_SECONDS + STORE_SECONDS
-    return (
-        seen_after
-        + read_after
-        + propagation_seconds
-        + PEER_REQUEST_JITTER_SECONDS
-        + PEER_REQUEST_SECONDS
-    )
+    seen = times.proof_after + MAX_TURN_DELAY_SECONDS + STORE_SECONDS
+    read = WATCH_GRACE_SECONDS + STORE_SECONDS
+    return seen + read + propagation_seconds + PEER_REQUEST_JITTER_SECONDS + PEER_REQUEST_SECONDS
 
 
 def fallback_path_seconds(times: ReadTimes) -> float:
     """Return the longest time of a change to an entry that receives no updates."""
-    proved_after = times.fallback_after + times.fallback_spread + STORE_SECONDS
-    return proved_after + PEER_REQUEST_JITTER_SECONDS + STORE_SECONDS
+    proved = times.fallback_after + times.fallback_spread + STORE_SECONDS
+    return proved + PEER_REQUEST_JITTER_SECONDS + STORE_SECONDS
 
 
 class Derived(unittest.TestCase):
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -147,7 +147,7 @@
             + body
         )
 
-    async def send_request(self, data: bytes | None = None) -> CallerReply:
+    async def ask(self, data: bytes | None = None) -> CallerReply:
         """Send a request and return everything received until the connection is closed."""
         began = time.monotonic()
         stream = await anyio.connect_tcp("127.0.0.1", self.port)
@@ -203,12 +203,12 @@
             opens_at[0] = time.monotonic() + 0.6
             replies = []
 
-            async def send_request() -> None:
-                replies.append(await harness.send_request())
+            async def ask() -> None:
+                replies.append(await harness.ask())
 
             async with anyio.create_task_group() as tasks:
                 for _ in range(5):
-                    tasks.start_soon(send_request)
+                    tasks.start_soon(ask)
             self.assertEqual([each.status for each in replies], [200] * 5)
             self.assertLess(max(each.seconds for each in replies), 1.4)
             self.assertLess(len(harness.taken()), 25)
@@ -220,7 +220,7 @@
 
         async def scenario(harness: EntryHarness) -> None:
             opens_at[0] = time.monotonic() + 0.6
-            reply = await harness.send_request()
+            reply = await harness.ask()
             self.assertEqual(reply.status, 200)
             self.assertLessEqual(sum(1 for each in harness.endpoints if each.taken), 2)
 
@@ -231,9 +231,9 @@
         opens_at = [time.monotonic() + 60.0]
 
         async def scenario(harness: EntryHarness) -> None:
-            await harness.send_request()
+            await harness.ask()
             await anyio.sleep(1.0)
-            reply = await harness.send_request()
+            reply = await harness.ask()
             self.assertEqual(reply.status, 503)
             self.assertIn(b"retry-after", reply.head.lower())
             self.assertLess(reply.seconds, 0.5)
@@ -249,7 +249,7 @@
 
         async def scenario(harness: EntryHarness) -> None:
             for _ in range(12):
-                self.assertEqual((await harness.send_request()).status, 200)
+                self.assertEqual((await harness.ask()).status, 200)
             self.assertLessEqual(len(harness.endpoints[0].taken), 2)
 
         EntryHarness([forming_group(opens_at), forming_group(open_from_start)]).run(scenario)
@@ -258,7 +258,7 @@
         """A plain service refuses requests only for milliseconds, while its queue is full."""
 
         async def scenario(harness: EntryHarness) -> None:
-            await harness.send_request()
+            await harness.ask()
             self.assertFalse(harness.health.refusing("i-0"))
 
         EntryHarness([refuses], repeat=Repeat.ONCE).run(scenario)
@@ -267,13 +267,13 @@
 class BrokenOff(unittest.TestCase):
     """Broken answers, from endpoints that ended and from others."""
 
-    def broken_answer_state(self, harness: "EntryHarness", path: bytes = b"/songs/1") -> dict:
+    def broken(self, harness: "EntryHarness", path: bytes = b"/songs/1") -> dict:
         """Send one request, and return what the entry logged about the endpoint's state."""
         found = []
         sink = logger.add(lambda each: found.append(each.record), level="INFO")
 
         async def scenario(harness: EntryHarness) -> None:
-            await harness.send_request(harness.request(path=path))
+            await harness.ask(harness.request(path=path))
 
         harness.run(scenario)
         logger.remove(sink)
@@ -287,23 +287,21 @@
         request was at the rank that ended.
         """
         harness = EntryHarness([closes], repeat=Repeat.ONCE)
-        self.assertEqual(self.broken_answer_state(harness)["listening"], "yes")
+        self.assertEqual(self.broken(harness)["listening"], "yes")
         self.assertNotIn("_ends_total{", harness.tally.page())
 
         async def ends(stream, taken) -> None:
             harness.endpoints[0].end()
 
         harness = EntryHarness([ends], repeat=Repeat.ONCE)
-        self.assertEqual(self.broken_answer_state(harness)["listening"], "no")
+        self.assertEqual(self.broken(harness)["listening"], "no")
         self.assertIn('cut_by_endpoint_ends_total{service="plain"} 1', harness.tally.page())
 
     def test_request_that_comes_again_is_named_alike(self) -> None:
         """Callers use a new id for each attempt, so only the content identifies a retry in logs."""
-        first = self.broken_answer_state(EntryHarness([closes], repeat=Repeat.ONCE))
-        again = self.broken_answer_state(EntryHarness([closes], repeat=Repeat.ONCE))
-        other = self.broken_answer_state(
-            EntryHarness([closes], repeat=Repeat.ONCE), path=b"/songs/2"
-        )
+        first = self.broken(EntryHarness([closes], repeat=Repeat.ONCE))
+        again = self.broken(EntryHarness([closes], repeat=Repeat.ONCE))
+        other = self.broken(EntryHarness([closes], repeat=Repeat.ONCE), path=b"/songs/2")
         self.assertEqual(first["content"], again["content"])
         self.assertNotEqual(first["content"], other["content"])
 
@@ -313,7 +311,7 @@
 
     def test_answer_comes_back_unchanged_and_headers_are_the_fleets(self) -> None:
         async def scenario(harness: EntryHarness) -> None:
-            reply = await harness.send_request(
+            reply = await harness.ask(
                 harness.request(extra=b"Carawayhub-Tenant: forged\r\nX-Song: 7\r\n")
             )
             self.assertEqual((reply.status, reply.body), (200, b"ok"))
@@ -332,7 +330,7 @@
         path = b"/songs/a;v=1/b;x?q=%20a&b=;c"
 
         async def scenario(harness: EntryHarness) -> None:
-            await harness.send_request(harness.request(b"GET", path))
+            await harness.ask(harness.request(b"GET", path))
             self.assertEqual(harness.taken()[0].line.encode(), b"GET " + path + b" HTTP/1.1")
 
         EntryHarness([answers], repeat=Repeat.IDEMPOTENT).run(scenario)
@@ -345,7 +343,7 @@
         """
 
         async def scenario(harness: EntryHarness) -> None:
-            reply = await harness.send_request()
+            reply = await harness.ask()
             self.assertEqual(reply.status, 502)
             self.assertEqual(len(harness.taken()), 1)
 
@@ -354,14 +352,14 @@
     def test_booking_that_was_refused_goes_to_another_endpoint(self) -> None:
         async def scenario(harness: EntryHarness) -> None:
             for _ in range(4):
-                reply = await harness.send_request()
+                reply = await harness.ask()
                 self.assertEqual(reply.status, 200)
 
         EntryHarness([refuses, answers], repeat=Repeat.ONCE).run(scenario)
 
     def test_refusal_of_all_endpoints_is_a_503_with_a_time(self) -> None:
         async def scenario(harness: EntryHarness) -> None:
-            reply = await harness.send_request()
+            reply = await harness.ask()
             self.assertEqual(reply.status, 503)
             self.assertIn(b"retry-after", reply.head.lower())
             self.assertEqual(len(harness.taken()), 2)
@@ -372,7 +370,7 @@
     def test_lookup_that_lost_its_answer_is_sent_again(self) -> None:
         async def scenario(harness: EntryHarness) -> None:
             for _ in range(4):
-                self.assertEqual((await harness.send_request(harness.request(b"GET"))).status, 200)
+                self.assertEqual((await harness.ask(harness.request(b"GET"))).status, 200)
 
         EntryHarness([closes, answers], repeat=Repeat.IDEMPOTENT).run(scenario)
 
@@ -381,7 +379,7 @@
             await anyio.sleep_forever()
 
         async def scenario(harness: EntryHarness) -> None:
-            reply = await harness.send_request(harness.request(b"GET"))
+            reply = await harness.ask(harness.request(b"GET"))
             self.assertEqual(reply.status, 200)
             self.assertLess(reply.seconds, 0.8)
 
@@ -395,7 +393,7 @@
             await stream.send(whole(taken, b"somebody else's"))
 
         async def scenario(harness: EntryHarness) -> None:
-            reply = await harness.send_request()
+            reply = await harness.ask()
             self.assertEqual(reply.status, 502)
             self.assertNotIn(b"somebody", reply.body)
 
@@ -406,7 +404,7 @@
             await stream.send(whole(taken, extra=b""))
 
         async def scenario(harness: EntryHarness) -> None:
-            self.assertEqual((await harness.send_request()).status, 502)
+            self.assertEqual((await harness.ask()).status, 502)
 
         EntryHarness([unsealed], repeat=Repeat.ONCE).run(scenario)
 
@@ -416,9 +414,7 @@
 
         async def scenario(harness: EntryHarness) -> None:
             for _ in range(3):
-                self.assertEqual(
-                    (await harness.send_request(harness.request(b"GET"))).body, b"once"
-                )
+                self.assertEqual((await harness.ask(harness.request(b"GET"))).body, b"once")
 
         EntryHarness([doubled], repeat=Repeat.IDEMPOTENT).run(scenario)
 
@@ -428,7 +424,7 @@
             raise ClosedError
 
         async def scenario(harness: EntryHarness) -> None:
-            self.assertEqual((await harness.send_request()).status, 502)
+            self.assertEqual((await harness.ask()).status, 502)
 
         EntryHarness([cut], repeat=Repeat.ONCE).run(scenario)
 
@@ -437,7 +433,7 @@
             await stream.send(whole(taken, b"no", "500 Internal Server Error"))
 
         async def scenario(harness: EntryHarness) -> None:
-            reply = await harness.send_request()
+            reply = await harness.ask()
             self.assertEqual((reply.status, reply.body), (500, b"no"))
 
         EntryHarness([fails], repeat=Repeat.ONCE).run(scenario)
@@ -447,7 +443,7 @@
             await anyio.sleep_forever()
 
         async def scenario(harness: EntryHarness) -> None:
-            reply = await harness.send_request()
+            reply = await harness.ask()
             self.assertIn(reply.status, (502, 504))
             self.assertLess(reply.seconds, 0.9)
 
@@ -458,7 +454,7 @@
 
         async def scenario(harness: EntryHarness) -> None:
             harness.view.misdirected("i-0")
-            reply = await harness.send_request()
+            reply = await harness.ask()
             self.assertEqual(reply.status, 503)
             self.assertEqual(harness.taken(), [])
 
@@ -476,7 +472,7 @@
             await stream.send(chunk(b""))
 
         async def scenario(harness: EntryHarness) -> None:
-            reply = await harness.send_request()
+            reply = await harness.ask()
             self.assertTrue(reply.whole)
             for number in range(1, 6):
                 self.assertEqual(reply.body.count(event(number)), 1)
@@ -503,10 +499,10 @@
             await stream.send(chunk(b""))
 
         async def scenario(harness: EntryHarness) -> None:
-            reply = await harness.send_request()
+            reply = await harness.ask()
             self.assertTrue(reply.whole)
-            positions = [reply.body.index(event(number)) for number in range(1, 6)]
-            self.assertEqual(positions, sorted(positions))
+            places = [reply.body.index(event(number)) for number in range(1, 6)]
+            self.assertEqual(places, sorted(places))
             self.assertEqual([reply.body.count(event(number)) for number in range(1, 6)], [1] * 5)
             resumed = [t.headers.get("last-event-id") for t in harness.taken()]
             resumed = [each for each in resumed if each]
@@ -521,7 +517,7 @@
             raise ClosedError
 
         async def scenario(harness: EntryHarness) -> None:
-            reply = await harness.send_request()
+            reply = await harness.ask()
             self.assertEqual(reply.status, 200)
             self.assertIn(event(1), reply.body)
             self.assertFalse(reply.whole)
@@ -537,7 +533,7 @@
 
         async def scenario(harness: EntryHarness) -> None:
             for _ in range(4):
-                self.assertEqual((await harness.send_request()).status, 200)
+                self.assertEqual((await harness.ask()).status, 200)
 
         EntryHarness([fails, events]).run(scenario)
 
@@ -556,7 +552,7 @@
         async def scenario(harness: EntryHarness) -> None:
             for _ in range(6):
                 with anyio.move_on_after(0.9):
-                    await harness.send_request()
+                    await harness.ask()
             await anyio.sleep(0.1)
             self.assertGreater(harness.health.errors("i-0"), 0.1)
             self.assertEqual(harness.health.errors("i-1"), 0.0)
@@ -602,7 +598,7 @@
 
         async def scenario(harness: EntryHarness) -> None:
             for data in bad:
-                reply = await harness.send_request(data)
+                reply = await harness.ask(data)
                 self.assertEqual(reply.status, 400, data)
             self.assertEqual(harness.taken(), [])
 
@@ -611,7 +607,7 @@
     def test_unreadable_deadline_is_refused_with_its_number(self) -> None:
         async def scenario(harness: EntryHarness) -> None:
             data = harness.request().replace(b"Deadline: 3000", b"Deadline: soon")
-            reply = await harness.send_request(data)
+            reply = await harness.ask(data)
             self.assertEqual(reply.status, 400)
             self.assertIn(b"2008", reply.body)
             self.assertEqual(harness.taken(), [])
--- a/tests/test_gateway_view.py
+++ b/tests/test_gateway_view.py
@@ -473,10 +473,10 @@
             revision = self.view.revision
             old = Handed(published(1, TablePublished(table(1))), True)
 
-            async def stale_update(revision: int) -> Handed | None:
+            async def late(revision: int) -> Handed | None:
                 return old
 
-            self.follower._fetch_changes = stale_update
+            self.follower._fetch_changes = late
             self.assertFalse(await self.follower._apply_from_peers())
             self.assertEqual(self.view.revision, revision)
 
