--- a/carawayhub/gateway/app.py
+++ b/carawayhub/gateway/app.py
@@ -1,4 +1,4 @@
-"""The gateway's interface towards callers, as an ASGI application."""
+"""The gateway's interface for callers, as an ASGI application."""
 
 from collections.abc import Callable
 from typing import Any
@@ -19,19 +19,19 @@
 
 
 class GatewayApp:
-    """Takes requests of callers and sees to it that each gets one answer.
+    """Accepts requests of callers and ensures that each gets exactly one answer.
 
     Args:
         clock: Source of time.
-        wire: How requests are spelled.
-        desk: Admits them.
-        relay: Carries them to endpoints.
-        limits: Gives what callers may send.
-        tally: Takes measurements.
+        wire: Wire format of requests.
+        desk: Admits requests.
+        relay: Forwards requests to endpoints.
+        limits: Returns the limits on what callers may send.
+        tally: Records metrics.
 
     Attributes:
-        closing: Whether answers end their connections, as they do before the process stops.
-        running: Requests that are being answered.
+        closing: Whether answers close their connections, as they do before the process stops.
+        running: Number of requests in progress.
     """
 
     __slots__ = (
@@ -79,21 +79,21 @@
         code, detail = Code.OK, ""
         try:
             req = self._wire.request(scope)
-            req.body = await self._body(receive)
+            req.body = await self._read_body(receive)
             call = self._desk.admit(req, arrived_at)
-            if not await self._run(call, answer, receive):
+            if not await self._relay_request(call, answer, receive):
                 code = Code.CALLER_LEFT
         except RequestError as exc:
             code, detail = exc.code, exc.detail
-            await self._fail(answer, exc)
+            await self._send_failure(answer, exc)
         finally:
-            self._note(req, call, answer, code, detail, arrived_at)
+            self._record_end(req, call, answer, code, detail, arrived_at)
 
-    async def _run(self, call: Admitted, answer: CallerAnswer, receive: Receive) -> bool:
-        """Relay a request; return False where its caller left before the end.
+    async def _relay_request(self, call: Admitted, answer: CallerAnswer, receive: Receive) -> bool:
+        """Relay a request; return False if the caller disconnected before the end.
 
-        The request ends with its caller: an endpoint that works on for somebody who has left
-        holds a place that others wait for.
+        The request is cancelled when its caller disconnects. Otherwise the endpoint would keep a
+        slot occupied that other requests wait for.
         """
         failure: RequestError | None = None
         left = False
@@ -116,30 +116,30 @@
             raise failure
         return not left or answer.ended
 
-    async def _body(self, receive: Receive) -> bytes:
-        most = self._limits().body_bytes
+    async def _read_body(self, receive: Receive) -> bytes:
+        max_bytes = self._limits().body_bytes
         body = b""
         while True:
             message = await receive()
             if message["type"] == "http.disconnect":
                 raise RequestError(Code.CALLER_LEFT)
             body += message.get("body", b"")
-            if len(body) > most:
+            if len(body) > max_bytes:
                 raise RequestError(Code.BODY_TOO_LARGE)
             if not message.get("more_body", False):
                 return body
 
-    async def _fail(self, answer: CallerAnswer, exc: RequestError) -> None:
-        """Tell the caller of a failure, or break the answer off that it has begun to get.
+    async def _send_failure(self, answer: CallerAnswer, exc: RequestError) -> None:
+        """Send an error to the caller, or break off an answer that has started.
 
-        Returning with an answer that has no end makes the server close the connection without the
-        last chunk, so that what came does not look whole.
+        If this returns while the answer has no end, the server closes the connection without the
+        last chunk, so that the partial answer does not look complete.
         """
         if answer.started or exc.code is Code.CALLER_LEFT:
             return
         await answer.refuse(exc)
 
-    def _note(
+    def _record_end(
         self,
         req: CallerRequest | None,
         call: Admitted | None,
