--- a/benchmarks/expert_shift.py
+++ b/benchmarks/expert_shift.py
@@ -16,7 +16,7 @@
 from dataclasses import asdict, dataclass
 
 from carawayhub.experts.demand import Demand
-from carawayhub.experts.model import Growth, Placement, first_placement
+from carawayhub.experts.model import Growth, Placement, initial_placement
 from carawayhub.experts.planner import CopyLimits, plan, skew
 from carawayhub.output.tables import write_table
 
@@ -99,9 +99,9 @@
     demand = ShiftingDemand(random.Random(seed))
     known = Demand(LAYERS, EXPERTS)
     limits = CopyLimits(
-        places=PLACES, new_in_set=SPARE, new_in_rank=copies_a_rank, least_gain=LEAST_GAIN
+        places=PLACES, max_new_per_set=SPARE, max_new_per_rank=copies_a_rank, min_gain=LEAST_GAIN
     )
-    current = first_placement(LAYERS, EXPERTS, RANKS)
+    current = initial_placement(LAYERS, EXPERTS, RANKS)
     coming: tuple[float, Placement] | None = None
     total, copies, looks = 0.0, 0, round(seconds / LOOK_SECONDS)
     shift_at = SHIFT_SECONDS
@@ -113,7 +113,7 @@
         if coming is not None and now >= coming[0]:
             current, coming = coming[1], None
         total += skew(current, demand.shares())
-        shares = known.take([demand.growth()])
+        shares = known.update([demand.growth()])
         if coming is not None or shares is None:
             continue
         best = plan(current, shares, limits)
--- a/benchmarks/soak_groups.py
+++ b/benchmarks/soak_groups.py
@@ -29,8 +29,8 @@
     Placement,
     RankCounts,
     RankReport,
-    first_placement,
-    held_of,
+    experts_of_rank,
+    initial_placement,
 )
 from carawayhub.gateway.model import EngineProfile, ExpertShape
 from carawayhub.http import HttpServer, bind
@@ -84,7 +84,7 @@
 
     def placement(self, version: int) -> Placement:
         """Return the map of a version."""
-        start = first_placement(SHAPE.layers, SHAPE.experts, RANKS)
+        start = initial_placement(SHAPE.layers, SHAPE.experts, RANKS)
         return start if version == 0 else self.states[0].maps[version]
 
     def count(self) -> None:
@@ -120,7 +120,7 @@
         """Return the experts of the rank now."""
         version = self.group.states[self.rank].version
         return HeldExperts(
-            version=version, experts=held_of(self.group.placement(version), self.rank)
+            version=version, experts=experts_of_rank(self.group.placement(version), self.rank)
         )
 
 
@@ -308,7 +308,7 @@
     async def _form_again(self, group: WantedGroup) -> None:
         group.open = False
         await anyio.sleep(0.6)
-        group.form_again()
+        group.reform()
         group.open = True
 
     async def _store_down(self, group: WantedGroup) -> None:
--- a/carawayhub/experts/agent.py
+++ b/carawayhub/experts/agent.py
@@ -1,4 +1,7 @@
-"""The agent beside a rank: answers for its rank; beside rank 0, it keeps the group balanced."""
+"""The agent beside a rank answers questions about it; at rank 0, it also balances the group.
+
+The agent beside rank 0 is the leader of its group, the others are on standby.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -21,60 +24,60 @@
     Rank,
     RankReport,
     ReadableRank,
-    first_placement,
+    initial_placement,
 )
 from carawayhub.experts.planner import Plan
-from carawayhub.experts.remote import RankDesk, RemoteRank, relay
+from carawayhub.experts.remote import RankResponder, RemoteRank, relay
 from carawayhub.experts.switch import Switch
 from carawayhub.experts.tally import GroupTally
 from carawayhub.gateway.model import ExpertShape
 from carawayhub.peers.pace import LinkPace
 from carawayhub.peers.questions import Answer, Question, QuestionLink
 
-LOOK_SECONDS = 0.08
-"""Seconds between two looks at the demand of a busy group: about a pass of its engines. Demand
-changes every few seconds, and until it is seen the busiest rank has three times the mean load."""
+BUSY_POLL_SECONDS = 0.08
+"""Polling interval of the demand of a busy group, about one pass of its engines. Demand changes
+every few seconds, and until a change is detected the busiest rank has three times the mean load."""
 
-CALM_SECONDS = 0.3
-"""Seconds between two looks at the demand of a group that is far from needing a change."""
+CALM_POLL_SECONDS = 0.3
+"""Polling interval of the demand of a group that is far from needing a change."""
 
 CALM_PRESSURE = 0.15
-"""Part of the places that must be taken for a group to be looked at often: less than what makes a
-change worth its price, so that the first one of a day is not late."""
+"""Fraction of occupied slots from which a group is polled often. It is lower than the threshold for
+a change, so that the first change after an idle period is not delayed."""
 
-FOLLOW_SECONDS = 0.8
-"""Seconds between two looks of an agent that hears from the one beside rank 0: less than the time
-after which it would look for what that one left behind."""
+STANDBY_POLL_SECONDS = 0.8
+"""Polling interval of an agent that receives heartbeats from the leader; shorter than the time
+after which it checks for an interrupted change."""
 
-NUMBERS_A_SECOND = 400_000
-"""Counters of a whole group that the agent reads a second at the most: about an eighth of its share
-of a core, and, as a third of a byte each goes over the link, a quarter of a link of 4 Mbit/s."""
+COUNTERS_PER_SECOND = 400_000
+"""Maximum rate at which the agent reads the counters of a group. It takes about an eighth of the
+agent's share of a core and, at a third of a byte per counter, a quarter of a link of 4 Mbit/s."""
 
-MOST_PAUSE = 2.0
-"""Seconds between two looks at a rank that does not answer or is no rank, at the most."""
+MAX_BACKOFF_SECONDS = 2.0
+"""Maximum polling interval for a rank that does not answer or is not part of a group."""
 
-TELL_SECONDS = 0.3
-"""Seconds between two signs of life to the other agents during a change."""
+HEARTBEAT_SECONDS = 0.3
+"""Interval between heartbeats to the other agents during a change."""
 
-SILENT_GIVER = 1.2
-SILENT_GIVER_STEP = 0.4
-"""Seconds without a sign of the agent beside rank 0 after which the agent beside rank 1 looks for a
-pass that it left held, and how much longer each rank after it waits: together they bound how long
-a group stands still when its giver dies."""
+TAKEOVER_SECONDS = 1.2
+TAKEOVER_STEP_SECONDS = 0.4
+"""Time without a heartbeat from the leader after which the agent beside rank 1 checks
+for a pass that was left held, and the additional delay of each further rank. Together they bound
+how long a group stalls after its order issuer dies."""
 
-JUST_WOKEN = 2.5
-"""Seconds between two looks from which on this agent counts as having been suspended."""
+SUSPENDED_SECONDS = 2.5
+"""Time between two polls above which this agent counts as having been suspended."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AgentOptions:
-    """What an agent is given.
+    """Options of an agent.
 
     Attributes:
         ip: IP number of the VM.
-        port: Port of all agents for their exchange.
-        link_rate: Bytes a second that the link of the VM carries, 0 where that is not known.
-        direct: Makes a client of a replica at an address, which must have an instance id.
+        port: Port on which all agents exchange messages.
+        link_rate: Bandwidth of the VM's link in bytes per second, 0 if unknown.
+        direct: Creates a client for the replica with an instance id at an address.
     """
 
     ip: str
@@ -84,19 +87,19 @@
 
 
 @dataclass(slots=True)
-class _Lead:
-    """What the agent beside rank 0 knows of one formation of its group.
+class _LeaderState:
+    """State of the leader for one formation of its group.
 
     Attributes:
         family: The formation.
         ranks: Its ranks.
         shape: Shape of its maps.
-        switch: Changes them.
-        balancer: Decides about them.
-        version: Version of the map below, -1 while it is not known.
+        switch: Changes the maps.
+        balancer: Decides when to change them.
+        version: Version of ``placement``, -1 while it is unknown.
         placement: The map in force.
-        held: The pass that was seen held last.
-        held_since: Since when.
+        held: The last pass that was observed as held.
+        held_since: When it was first observed.
     """
 
     family: Family
@@ -114,19 +117,19 @@
     """The agent of one rank.
 
     Args:
-        options: What it is given.
+        options: Options of the agent.
         rank: The rank on this VM.
-        roster: Finds the others.
+        roster: Lists the replicas of the group.
         clock: Source of time.
     """
 
     __slots__ = (
         "_clock",
-        "_desk",
-        "_giver_heard_at",
-        "_lead_state",
+        "_responder",
+        "_leader_seen_at",
+        "_leader_state",
         "_link",
-        "_looked_at",
+        "_polled_at",
         "_members",
         "_meter",
         "_options",
@@ -145,10 +148,10 @@
         )
         self._members = GroupMembers(options.ip, self._link, options.direct, roster, clock)
         self._meter = GrowthMeter()
-        self._desk = RankDesk(rank, self._meter)
-        self._giver_heard_at = clock.monotonic()
-        self._looked_at = clock.monotonic()
-        self._lead_state: _Lead | None = None
+        self._responder = RankResponder(rank, self._meter)
+        self._leader_seen_at = clock.monotonic()
+        self._polled_at = clock.monotonic()
+        self._leader_state: _LeaderState | None = None
         self._tally = GroupTally()
 
     def metrics(self) -> str:
@@ -159,142 +162,151 @@
         """Serve until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._link.run)
-            tasks.start_soon(self._work)
+            tasks.start_soon(self._poll_loop)
 
-    async def _work(self) -> None:
+    async def _poll_loop(self) -> None:
         failures = 0
         while True:
             began_at = self._clock.monotonic()
             try:
-                await self._look()
+                await self._poll()
                 failures = 0
             except (GroupError, PlatformError) as exc:
                 failures += 1
                 self._tally.failed_looks += 1
-                logger.bind(error=str(exc), failures=failures).info("look given up")
-            await anyio.sleep(max(self._pause(began_at), min(failures * CALM_SECONDS, MOST_PAUSE)))
-
-    def _pause(self, began_at: float) -> float:
-        """Return the seconds to the next look after the one that began at ``began_at``."""
-        lead = self._lead_state
-        if lead is None:
-            heard = self._clock.monotonic() - self._giver_heard_at < FOLLOW_SECONDS
-            return FOLLOW_SECONDS if heard else CALM_SECONDS
-        numbers = lead.shape.layers * lead.shape.experts * len(lead.ranks)
-        calm = lead.balancer.pressure < CALM_PRESSURE
-        due_at = began_at + numbers / NUMBERS_A_SECOND
-        return max(CALM_SECONDS if calm else LOOK_SECONDS, due_at - self._clock.monotonic())
-
-    async def _look(self) -> None:
+                logger.bind(error=str(exc), failures=failures).info("poll of the group failed")
+            await anyio.sleep(
+                max(
+                    self._poll_delay(began_at),
+                    min(failures * CALM_POLL_SECONDS, MAX_BACKOFF_SECONDS),
+                )
+            )
+
+    def _poll_delay(self, began_at: float) -> float:
+        """Return the seconds until the next poll after the one that began at ``began_at``."""
+        leader = self._leader_state
+        if leader is None:
+            leader_seen = self._clock.monotonic() - self._leader_seen_at < STANDBY_POLL_SECONDS
+            return STANDBY_POLL_SECONDS if leader_seen else CALM_POLL_SECONDS
+        counter_count = leader.shape.layers * leader.shape.experts * len(leader.ranks)
+        calm = leader.balancer.pressure < CALM_PRESSURE
+        due_at = began_at + counter_count / COUNTERS_PER_SECOND
+        return max(
+            CALM_POLL_SECONDS if calm else BUSY_POLL_SECONDS, due_at - self._clock.monotonic()
+        )
+
+    async def _poll(self) -> None:
         self._tally.looks += 1
         report = await self._rank.report()
         now = self._clock.monotonic()
-        if now - self._looked_at > JUST_WOKEN:
-            # What the giver said meanwhile still waits to be read: it would seem silent.
-            self._giver_heard_at = now
-        self._looked_at = now
+        if now - self._polled_at > SUSPENDED_SECONDS:
+            # Heartbeats from the meantime are not processed yet, so the issuer would seem silent.
+            self._leader_seen_at = now
+        self._polled_at = now
         if report.rank == 0:
-            await self._lead(report)
+            await self._run_leader(report)
         else:
-            self._lead_state = None
-            await self._follow(report)
+            self._leader_state = None
+            await self._run_standby(report)
 
     async def _handle(self, question: Question, ip: str) -> Answer:
         match question.subject:
             case "relay":
                 return await relay(question, self._options.direct)
             case "alive":
-                return self._hear_of_life(question)
+                return self._receive_alive(question)
             case "members":
-                return self._hear_of_members(question, ip)
+                return self._receive_members(question, ip)
             case _:
-                return await self._desk.answer(question)
+                return await self._responder.answer(question)
 
-    def _hear_of_life(self, question: Question) -> Answer:
-        """Note that the agent beside rank 0 lives; answer whether its members are known here."""
-        self._giver_heard_at = self._clock.monotonic()
-        known = self._members.knows(question.content)
+    def _receive_alive(self, question: Question) -> Answer:
+        """Process a heartbeat; the answer reports whether its members are known here."""
+        self._leader_seen_at = self._clock.monotonic()
+        known = self._members.matches_checksum(question.content)
         return Answer(number=question.number, asker=question.asker, ok=known)
 
-    def _hear_of_members(self, question: Question, ip: str) -> Answer:
+    def _receive_members(self, question: Question, ip: str) -> Answer:
         try:
             self._members.family = msgspec.msgpack.decode(question.content, type=Family)
         except msgspec.DecodeError as exc:
-            logger.bind(peer=ip, error=str(exc)).warning("members cannot be read")
-        self._giver_heard_at = self._clock.monotonic()
+            logger.bind(peer=ip, error=str(exc)).warning("could not decode the announced members")
+        self._leader_seen_at = self._clock.monotonic()
         return Answer(number=question.number, asker=question.asker, ok=True)
 
-    async def _follow(self, report: RankReport) -> None:
-        """Finish a change whose giver is gone; otherwise leave everything to it."""
-        silent = self._clock.monotonic() - self._giver_heard_at
+    async def _run_standby(self, report: RankReport) -> None:
+        """Finish a change if its issuer is silent, otherwise do nothing."""
+        silent = self._clock.monotonic() - self._leader_seen_at
         family = self._members.family
-        if family is None or silent < SILENT_GIVER + SILENT_GIVER_STEP * (report.rank - 1):
+        if family is None or silent < TAKEOVER_SECONDS + TAKEOVER_STEP_SECONDS * (report.rank - 1):
             return
-        if not family.is_of(report) or not report.open:
+        if not family.includes(report) or not report.open:
             return
         ranks = self._members.ranks(report.rank, self._rank)
         if not (await ranks[0].report()).held:
             return
-        logger.bind(silent_seconds=round(silent, 2)).warning("giver is silent with a pass held")
-        ended = await Switch(ranks, self._clock, self._members.tell_surely).finish()
-        logger.bind(ended=ended.value).info("change left behind")
+        logger.bind(silent_seconds=round(silent, 2)).warning(
+            "order issuer is silent while a pass is held; taking over"
+        )
+        ended = await Switch(ranks, self._clock, self._members.announce_with_retry).finish()
+        logger.bind(ended=ended.value).info("interrupted change of expert map ended")
 
-    async def _lead(self, report: RankReport) -> None:
+    async def _run_leader(self, report: RankReport) -> None:
         if not report.open:
             return
-        lead = await self._know_group(report)
-        if lead is None:
+        leader = await self._find_group(report)
+        if leader is None:
             return
         if report.held:
-            await self._members.tell()
-            ended = await lead.switch.finish(self._held_seconds(lead, report))
-            logger.bind(ended=ended.value).info("change left behind")
+            await self._members.announce()
+            ended = await leader.switch.finish(self._held_seconds(leader, report))
+            logger.bind(ended=ended.value).info("interrupted change of expert map ended")
             return
         if report.armed:
-            # The change before ends with a pass that has not begun yet; none can follow till then.
+            # The previous change ends with a pass that has not begun yet, and blocks the next one.
             return
-        await self._know_placement(lead, report)
-        growths = await self._growths(lead)
-        best = lead.balancer.decide(lead.placement, growths, self._clock.monotonic())
-        self._tally.pressure = lead.balancer.pressure
-        if best is not None:
-            await self._change(lead, best, report)
-
-    async def _change(self, lead: _Lead, best: Plan, report: RankReport) -> None:
+        await self._update_placement(leader, report)
+        growths = await self._growths(leader)
+        plan = leader.balancer.decide(leader.placement, growths, self._clock.monotonic())
+        self._tally.pressure = leader.balancer.pressure
+        if plan is not None:
+            await self._change(leader, plan, report)
+
+    async def _change(self, leader: _LeaderState, plan: Plan, report: RankReport) -> None:
         began = self._clock.monotonic()
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._go_on_telling)
-            ended = await lead.switch.change(best.placement)
+            tasks.start_soon(self._send_heartbeats)
+            ended = await leader.switch.change(plan.placement)
             tasks.cancel_scope.cancel()
         seconds = self._clock.monotonic() - began
-        self._tally.changed(best, ended, seconds)
-        times = lead.switch.times
+        self._tally.changed(plan, ended, seconds)
+        times = leader.switch.times
         logger.bind(
             ended=ended.value,
-            pressure=round(lead.balancer.pressure, 2),
-            skew_before=round(best.skew_before, 3),
-            skew_after=round(best.skew_after, 3),
-            copies=best.copies,
+            pressure=round(leader.balancer.pressure, 2),
+            skew_before=round(plan.skew_before, 3),
+            skew_after=round(plan.skew_after, 3),
+            copies=plan.copies,
             step=report.step,
-            most_copies=best.most_copies,
+            most_copies=plan.most_copies,
             ordered=round(times.ordered, 3),
             copied=round(times.copied, 3),
             held=round(times.held, 3),
             seconds=round(seconds, 3),
-        ).info("change of map")
+        ).info("change of expert map ended")
 
-    async def _go_on_telling(self) -> None:
-        """Keep the other agents from taking a change over while its giver lives."""
+    async def _send_heartbeats(self) -> None:
+        """Send heartbeats during a change, so that no other agent takes it over."""
         while True:
-            await anyio.sleep(TELL_SECONDS)
-            await self._members.tell()
-
-    async def _know_group(self, report: RankReport) -> _Lead | None:
-        """Return what is known of the group, None while some rank of it cannot be found."""
-        lead = self._lead_state
-        if lead is not None and lead.family.is_of(report):
-            return lead
-        self._lead_state = None
+            await anyio.sleep(HEARTBEAT_SECONDS)
+            await self._members.announce()
+
+    async def _find_group(self, report: RankReport) -> _LeaderState | None:
+        """Return the state for the group, None until all its ranks and its profile are found."""
+        leader = self._leader_state
+        if leader is not None and leader.family.includes(report):
+            return leader
+        self._leader_state = None
         if not await self._members.find(report):
             return None
         profile = await self._roster.profile()
@@ -302,67 +314,76 @@
         if family is None or profile is None or profile.experts is None:
             return None
         ranks = self._members.ranks(report.rank, self._rank)
-        switch = Switch(ranks, self._clock, self._members.tell_surely, self._members.detour())
+        switch = Switch(
+            ranks,
+            self._clock,
+            self._members.announce_with_retry,
+            self._members.relay_to_first_rank(),
+        )
         balancer = Balancer(profile, profile.experts)
-        self._lead_state = _Lead(family, ranks, profile.experts, switch, balancer)
-        return self._lead_state
+        self._leader_state = _LeaderState(family, ranks, profile.experts, switch, balancer)
+        return self._leader_state
 
-    def _held_seconds(self, lead: _Lead, report: RankReport) -> float:
-        """Return for how long this agent has seen the present hold."""
+    def _held_seconds(self, leader: _LeaderState, report: RankReport) -> float:
+        """Return the time since this agent first observed the current hold."""
         now = self._clock.monotonic()
-        if lead.held != report.held:
-            lead.held, lead.held_since = report.held, now
-        return now - lead.held_since
+        if leader.held != report.held:
+            leader.held, leader.held_since = report.held, now
+        return now - leader.held_since
 
-    async def _know_placement(self, lead: _Lead, report: RankReport) -> None:
-        """Find out which map is in force, from the ranks only where it was not set here."""
-        if lead.version == report.version:
+    async def _update_placement(self, leader: _LeaderState, report: RankReport) -> None:
+        """Update the map in force; read it from the ranks only if it was not set here."""
+        if leader.version == report.version:
             return
-        latest = lead.switch.latest
+        latest = leader.switch.latest
         if report.version == 0:
-            lead.placement = first_placement(lead.shape.layers, lead.shape.experts, report.size)
+            leader.placement = initial_placement(
+                leader.shape.layers, leader.shape.experts, report.size
+            )
         elif latest is not None and latest.version == report.version:
-            lead.placement = latest.placement
+            leader.placement = latest.placement
         else:
-            lead.placement = await self._read_placement(lead, report)
-        lead.version = report.version
-        self._members.maps.in_force = Prepare(lead.version, lead.placement)
+            leader.placement = await self._read_placement(leader, report)
+        leader.version = report.version
+        self._members.maps.in_force = Prepare(leader.version, leader.placement)
 
-    async def _read_placement(self, lead: _Lead, report: RankReport) -> Placement:
+    async def _read_placement(self, leader: _LeaderState, report: RankReport) -> Placement:
         held: dict[int, tuple[tuple[int, ...], ...]] = {}
 
         async def read(rank: int, each: ReadableRank) -> None:
             try:
                 found = await each.held_experts()
             except GroupError as exc:
-                logger.bind(rank=rank, error=str(exc)).info("rank cannot be read")
+                logger.bind(rank=rank, error=str(exc)).info("could not read the experts of a rank")
                 return
             if found.version == report.version:
                 held[rank] = found.experts
 
         async with anyio.create_task_group() as tasks:
-            for rank, each in lead.ranks.items():
+            for rank, each in leader.ranks.items():
                 tasks.start_soon(read, rank, each)
         if len(held) != report.size:
-            raise GroupError(Code.RANK_UNREACHABLE, "the map in force cannot be read")
+            raise GroupError(
+                Code.RANK_UNREACHABLE, "could not read the map in force from all ranks"
+            )
         layers = len(held[0])
         return tuple(
             tuple(held[rank][layer] for rank in range(report.size)) for layer in range(layers)
         )
 
-    async def _growths(self, lead: _Lead) -> list[Growth]:
-        """Return how the counters grew at the ranks that answer, and tell their agents of life."""
-        growths = [self._meter.take(await self._rank.counts())]
+    async def _growths(self, leader: _LeaderState) -> list[Growth]:
+        """Return the growth of the counters at the ranks that answer, and send heartbeats."""
+        growths = [self._meter.measure(await self._rank.counts())]
 
         async def read(each: RemoteRank) -> None:
             try:
                 growths.append(await each.growth())
             except GroupError as exc:
-                logger.bind(error=str(exc)).info("rank cannot be read")
+                logger.bind(error=str(exc)).info("could not read the counters of a rank")
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._members.tell)
-            for each in lead.ranks.values():
+            tasks.start_soon(self._members.announce)
+            for each in leader.ranks.values():
                 if isinstance(each, RemoteRank):
                     tasks.start_soon(read, each)
         return growths
--- a/carawayhub/experts/balancer.py
+++ b/carawayhub/experts/balancer.py
@@ -1,121 +1,121 @@
-"""Whether a group changes its map now, and to which."""
+"""Decides whether a group changes its map now, and to which one."""
 
 import math
 from collections.abc import Sequence
 
 from carawayhub.experts.demand import Demand
-from carawayhub.experts.model import Growth, Placement, is_whole
+from carawayhub.experts.model import Growth, Placement, is_complete
 from carawayhub.experts.planner import CopyLimits, Plan, plan, skew
 from carawayhub.gateway.model import EngineProfile, ExpertShape
 
-BYTES_FOR_SKEW = 2e10
-"""Bytes of copies for each rank that a full group may make to take 1.0 off its skew; a group half
-full a quarter as many. Copies beyond that take away too little to be worth their price. Ranks copy
-side by side, so more of them cost no time while each has one. With experts of 2.2 GB and demand
-that moves every 3.7 s the skew was 1.97 and 2.03 and the worth 0.447 and 0.382 at a quarter of this
-and a least gain of 0.2; with these 1.82 and 1.96, and 0.503 and 0.400 (a jump to 1.8, two seeds).
-At two and a half times this, the copies cost 0.02 of worth where experts have 0.78 GB."""
+COPY_BYTES_PER_SKEW = 2e10
+"""Bytes per rank that a fully loaded group may copy to reduce its skew by 1.0; a group at half
+load may copy a quarter of that. Further copies gain less than they cost: at 2.5 times this value,
+the copies cost 0.02 of worth with experts of 0.78 GB. Ranks copy in parallel, so
+additional copies take no additional time while each rank copies one expert."""
 
-COPY_SECONDS = 0.17
-"""Seconds for which the rank with most copies copies in one change. Demand stays for two to four
-seconds: replayed on recorded counters, 0.11 to 0.22 s give a mean skew of 1.84 to 1.87, 0.33 s 1.96
-and copying without a limit, up to 0.9 s, 2.16."""
+COPY_BUDGET_SECONDS = 0.17
+"""Copying time per change at the rank with the most copies. Demand changes every two to four
+seconds, so long changes take effect too late: on recorded counters, 0.11 to 0.22 s give a mean skew
+of 1.84 to 1.87, 0.33 s gives 1.96, and unlimited copying (up to 0.9 s) gives 2.16."""
 
-LINK_PART = 0.5
-"""Part of a rank's link rate that its copies get: 150 MB took 0.054 s at 5.5 GB/s."""
+LINK_SHARE = 0.5
+"""Fraction of a rank's link rate that is available to copies: copying 150 MB takes 0.054 s over a
+link of 5.5 GB/s."""
 
-LEAST_GAIN = 0.1
-"""Skew that a change must take away. Samples of a tenth of a second put the skew of a good map
-above its true one by up to twice as much, but the next change can begin at once."""
+MIN_GAIN = 0.1
+"""Minimum reduction of the skew that justifies a change. Samples of 0.1 s overestimate the skew of
+a good map by up to twice this value, which is acceptable since the next change can begin
+immediately."""
 
-LEAST_PRESSURE = 0.2
-"""Part of the places that must be taken, at the skew that is to come, for a change to be worth
-anything: below it no request waits, and passes are short whatever the map."""
+MIN_PRESSURE = 0.2
+"""Minimum fraction of occupied slots, at the expected skew, that justifies a change: below it no
+request is queued, and passes are short under any map."""
 
-PRESSURE_POWER = 2
-"""Power of the pressure by which copies are worth less in a group that is not full: passes are
-short there whatever the skew."""
+PRESSURE_EXPONENT = 2
+"""Exponent of the pressure that scales down the value of copies in a group that isn't full, where
+passes are short regardless of the skew."""
 
-PRESSURE_SECONDS = 0.35
-"""Seconds over which the mean of places taken is formed, however often the group is looked at."""
+PRESSURE_WINDOW_SECONDS = 0.35
+"""Time constant of the moving average of occupied slots, independent of the polling interval."""
 
 
 class Balancer:
-    """Decides for one group.
+    """Decides when one group changes its map.
 
     Args:
         profile: Profile of its engines.
         shape: Shape of its maps.
 
     Attributes:
-        pressure: Part of the places that will be taken at the present skew.
+        pressure: Expected fraction of occupied slots at the current skew.
     """
 
-    __slots__ = ("_demand", "_noted_at", "_places", "_shape", "_skew", "_taken", "pressure")
+    __slots__ = ("_demand", "_updated_at", "_places", "_shape", "_skew", "_utilisation", "pressure")
 
     def __init__(self, profile: EngineProfile, shape: ExpertShape) -> None:
         self._shape = shape
         self._places = max(1, profile.places)
         self._demand = Demand(shape.layers, shape.experts)
-        self._taken = 0.0
-        self._noted_at: float | None = None
+        self._utilisation = 0.0
+        self._updated_at: float | None = None
         self._skew = 1.0
         self.pressure = 0.0
 
     def decide(self, current: Placement, growths: Sequence[Growth], now: float) -> Plan | None:
-        """Return the change to make, None where none is worth its price.
+        """Return the change to make, None if none is worth its cost.
 
         Args:
             current: The map in force.
-            growths: How the counters of the ranks grew since the last look.
-            now: Reading of a clock.
+            growths: Growth of the ranks' counters since the previous poll.
+            now: Timestamp of a monotonic clock.
         """
-        shares = self._demand.take(growths)
+        shares = self._demand.update(growths)
         if shares is None:
             return None
-        self._note_pressure(growths, skew(current, shares), now)
-        if self.pressure < LEAST_PRESSURE:
+        self._update_pressure(growths, skew(current, shares), now)
+        if self.pressure < MIN_PRESSURE:
             return None
-        best = plan(current, shares, self._limits(len(current[0])))
-        if (best.skew_before - best.skew_after) * min(1.0, self.pressure) < LEAST_GAIN:
+        best_plan = plan(current, shares, self._limits(len(current[0])))
+        if (best_plan.skew_before - best_plan.skew_after) * min(1.0, self.pressure) < MIN_GAIN:
             return None
         shape = self._shape
-        return best if is_whole(best.placement, shape.experts, shape.places) else None
+        return best_plan if is_complete(best_plan.placement, shape.experts, shape.places) else None
 
     def _limits(self, ranks: int) -> CopyLimits:
         shape = self._shape
-        copies_for_skew = BYTES_FOR_SKEW * ranks / max(1.0, shape.expert_bytes)
-        worth = copies_for_skew * min(1.0, self.pressure) ** PRESSURE_POWER
+        max_copies_per_skew = COPY_BYTES_PER_SKEW * ranks / max(1.0, shape.expert_bytes)
+        copies_per_skew = max_copies_per_skew * min(1.0, self.pressure) ** PRESSURE_EXPONENT
         return CopyLimits(
             places=shape.places,
-            new_in_set=shape.spare,
-            new_in_rank=copies_within(COPY_SECONDS, shape),
-            least_gain=shape.layers / max(1.0, worth),
+            max_new_per_set=shape.spare,
+            max_new_per_rank=copies_within(COPY_BUDGET_SECONDS, shape),
+            min_gain=shape.layers / max(1.0, copies_per_skew),
         )
 
-    def _note_pressure(self, growths: Sequence[Growth], skew_now: float, now: float) -> None:
-        """Work out the part of the places that will be taken at the present skew.
+    def _update_pressure(self, growths: Sequence[Growth], skew_now: float, now: float) -> None:
+        """Estimate the fraction of occupied slots at the current skew.
 
-        Requests stay as long as passes take, and passes grow with the skew. What is measured
-        belongs to the skew of the last second; demand that has just changed shows in the counters
-        before it shows in the places.
+        The duration of passes, and so that of requests, grows with the skew. The measured occupancy
+        reflects the skew of the last second; a change of demand is visible in the counters before
+        it affects the occupancy.
         """
-        taken = sum(each.present for each in growths) / (self._places * len(growths))
-        weight = self._weight(now)
-        self._taken += weight * (taken - self._taken)
+        utilisation = sum(each.present for each in growths) / (self._places * len(growths))
+        weight = self._sample_weight(now)
+        self._utilisation += weight * (utilisation - self._utilisation)
         share = self._shape.share
-        stretch = (1.0 - share + share * skew_now) / (1.0 - share + share * self._skew)
+        pass_time_ratio = (1.0 - share + share * skew_now) / (1.0 - share + share * self._skew)
         self._skew += weight * (skew_now - self._skew)
-        self.pressure = self._taken * stretch
+        self.pressure = self._utilisation * pass_time_ratio
 
-    def _weight(self, now: float) -> float:
-        """Return the weight of a look by the time since the one before."""
-        before, self._noted_at = self._noted_at, now
-        passed = PRESSURE_SECONDS if before is None else now - before
-        return 1.0 - math.exp(-passed / PRESSURE_SECONDS)
+    def _sample_weight(self, now: float) -> float:
+        """Return the weight of a sample, given the time since the previous one."""
+        before, self._updated_at = self._updated_at, now
+        passed = PRESSURE_WINDOW_SECONDS if before is None else now - before
+        return 1.0 - math.exp(-passed / PRESSURE_WINDOW_SECONDS)
 
 
 def copies_within(seconds: float, shape: ExpertShape) -> int:
-    """Return how many experts a rank copies in ``seconds``; one at the least."""
-    rate = shape.link_rate * LINK_PART
+    """Return how many experts a rank can copy in ``seconds``, at least one."""
+    rate = shape.link_rate * LINK_SHARE
     return max(1, int(seconds * rate / max(1.0, shape.expert_bytes)))
--- a/carawayhub/experts/demand.py
+++ b/carawayhub/experts/demand.py
@@ -1,34 +1,37 @@
-"""Which experts the requests of a group choose now, from the counters of its ranks."""
+"""Estimates the current demand for each expert from the counters of a group's ranks."""
 
 import random
 from collections.abc import Iterable, Sequence
 
 from carawayhub.experts.model import Growth, RankCounts
 
-CARRY = 0.5
-"""Weight of what was known before in the present estimate: it smooths out chance."""
+PREVIOUS_WEIGHT = 0.5
+"""Weight of the previous estimate in the new one, to smooth out random variation."""
 
-LEAST_CHOICES = 100_000
-"""Choices in a layer set that a sample needs: those of about three prompts of 800 tokens at 40
-choices a token. Growth is added up until it has as many."""
+MIN_SAMPLE_CHOICES = 100_000
+"""Minimum number of choices per layer set in a sample: those of about three prompts of 800 tokens
+at 40 choices per token. Growth is accumulated until this number is reached."""
 
-CHANGED = 0.35
-"""Distance of two samples, as the summed differences of their shares, from which on demand has
-changed and what was known before is dropped. Samples of one demand lie 0.05 to 0.25 apart, those
-before and after a change 0.4 to 0.7 (recorded in groups of 24 ranks, a look every 0.18 s). Carried
-on, old demand would be copied for as well, in the place of what is wanted now."""
+CHANGE_DISTANCE = 0.35
+"""Distance between two samples (the sum of the absolute differences of their shares) above which
+the demand counts as changed and the previous estimate is discarded. Samples of unchanged demand
+differ by 0.05 to 0.25, those before and after a change by 0.4 to 0.7 (recorded in groups of 24
+ranks, polled every 0.18 s). With the old estimate kept, experts that are no longer popular would
+be copied instead of those that are."""
 
-MOST_LEVEL = 31
-"""Steps in which the growth of a counter is told. With 255 a rank of 12 sets of 256 experts takes
-1.8 KB compressed, with 31 0.85 KB, which is half the time until 64 ranks have told theirs."""
+MAX_LEVEL = 31
+"""Highest quantisation level of a counter's growth. The growth of a rank with 12 sets of 256
+experts takes 1.8 KB compressed with 255 levels and 0.85 KB with 31, which halves the time until 64
+ranks have reported."""
 
 
 class GrowthMeter:
-    """Turns the counters of one rank into their growth.
+    """Measures the growth of one rank's counters between two polls.
 
     Args:
-        rng: Rounds up or down by chance, so that rounding evens out over ranks. Rounded to the next
-            step, the many experts with few choices would all count as having none.
+        rng: Source of randomness for stochastic rounding, whose errors average out over ranks.
+            Rounding to the nearest level would turn the growth of the many experts with few choices
+            into zero.
     """
 
     __slots__ = ("_last", "_rng")
@@ -37,64 +40,67 @@
         self._last: RankCounts | None = None
         self._rng = rng or random.Random()
 
-    def take(self, now: RankCounts) -> Growth:
-        """Return the growth since the counters were taken before, none after a restart."""
+    def measure(self, now: RankCounts) -> Growth:
+        """Return the growth since the previous call, zero after a restart of the rank."""
         before, self._last = self._last, now
-        if before is None or not _is_continued(before, now):
+        if before is None or not _is_same_run(before, now):
             return Growth(unit=0.0, levels=bytes(len(now.counts)), present=now.present)
-        grown = [late - early for early, late in zip(before.counts, now.counts, strict=True)]
-        unit = max(1.0, max(grown, default=0) / MOST_LEVEL)
-        chance = self._rng.random
-        levels = bytes(max(0, min(MOST_LEVEL, int(each / unit + chance()))) for each in grown)
+        growth = [late - early for early, late in zip(before.counts, now.counts, strict=True)]
+        unit = max(1.0, max(growth, default=0) / MAX_LEVEL)
+        random_fraction = self._rng.random
+        levels = bytes(
+            max(0, min(MAX_LEVEL, int(each / unit + random_fraction()))) for each in growth
+        )
         return Growth(unit=unit, levels=levels, present=now.present)
 
 
 class Demand:
-    """The shares of the experts in the choices of each layer set.
+    """Estimated share of each expert in the choices of its layer set.
 
     Args:
-        layers: Layer sets.
-        experts: Experts of a set.
+        layers: Number of layer sets.
+        experts: Number of experts per set.
     """
 
-    __slots__ = ("_estimate", "_experts", "_grown", "_layers", "_sample")
+    __slots__ = ("_estimate", "_experts", "_pending_choices", "_layers", "_sample")
 
     def __init__(self, layers: int, experts: int) -> None:
         self._layers = layers
         self._experts = experts
-        self._grown = [0.0] * (layers * experts)
+        self._pending_choices = [0.0] * (layers * experts)
         self._sample: list[list[float]] | None = None
         self._estimate: list[list[float]] | None = None
 
-    def take(self, growths: Iterable[Growth]) -> list[list[float]] | None:
-        """Take the growth at each rank in; return the shares, None while too little is known."""
+    def update(self, growths: Iterable[Growth]) -> list[list[float]] | None:
+        """Add the growth at each rank; return the shares, None until a sample is complete."""
         self._add(growths)
         layers = [
-            self._grown[at : at + self._experts] for at in range(0, len(self._grown), self._experts)
+            self._pending_choices[at : at + self._experts]
+            for at in range(0, len(self._pending_choices), self._experts)
         ]
-        if min(sum(layer) for layer in layers) < LEAST_CHOICES:
+        if min(sum(layer) for layer in layers) < MIN_SAMPLE_CHOICES:
             return None
-        self._grown = [0.0] * len(self._grown)
+        self._pending_choices = [0.0] * len(self._pending_choices)
         fresh = [_shares(layer) for layer in layers]
         before, self._sample = self._sample, fresh
-        if self._estimate is None or before is None or _distance(fresh, before) > CHANGED:
+        if self._estimate is None or before is None or _distance(fresh, before) > CHANGE_DISTANCE:
             self._estimate = fresh
         else:
-            self._estimate = _blended(fresh, self._estimate)
+            self._estimate = _smoothed(fresh, self._estimate)
         return self._estimate
 
     def _add(self, growths: Iterable[Growth]) -> None:
         for each in growths:
-            if len(each.levels) == len(self._grown) and each.unit:
+            if len(each.levels) == len(self._pending_choices) and each.unit:
                 unit = each.unit
-                self._grown = [
+                self._pending_choices = [
                     total + unit * level
-                    for total, level in zip(self._grown, each.levels, strict=True)
+                    for total, level in zip(self._pending_choices, each.levels, strict=True)
                 ]
 
 
-def _is_continued(before: RankCounts, now: RankCounts) -> bool:
-    """Return whether a rank has counted on since; a restart begins again at zero."""
+def _is_same_run(before: RankCounts, now: RankCounts) -> bool:
+    """Return whether a rank kept counting; after a restart its counters begin at zero."""
     if (before.epoch, before.born) != (now.epoch, now.born):
         return False
     if len(before.counts) != len(now.counts):
@@ -108,7 +114,7 @@
 
 
 def _distance(fresh: list[list[float]], before: list[list[float]]) -> float:
-    """Return the summed differences of two samples, the mean over layer sets; 2.0 at the most."""
+    """Return the sum of absolute differences, averaged over layer sets; at most 2.0."""
     differences = (
         abs(new - old)
         for late, early in zip(fresh, before, strict=True)
@@ -117,8 +123,11 @@
     return sum(differences) / len(fresh)
 
 
-def _blended(fresh: list[list[float]], before: list[list[float]]) -> list[list[float]]:
+def _smoothed(fresh: list[list[float]], before: list[list[float]]) -> list[list[float]]:
     return [
-        [(new + CARRY * old) / (1.0 + CARRY) for new, old in zip(late, early, strict=True)]
+        [
+            (new + PREVIOUS_WEIGHT * old) / (1.0 + PREVIOUS_WEIGHT)
+            for new, old in zip(late, early, strict=True)
+        ]
         for late, early in zip(fresh, before, strict=True)
     ]
--- a/carawayhub/experts/mapwire.py
+++ b/carawayhub/experts/mapwire.py
@@ -12,9 +12,9 @@
 
 from carawayhub.codes import Code
 from carawayhub.errors import GroupError
-from carawayhub.experts.model import Placement, Prepare, first_placement
+from carawayhub.experts.model import Placement, Prepare, initial_placement
 
-MOST_CELLS = 1_000_000
+MAX_CELLS = 1_000_000
 """Experts over all layer sets and ranks of a map that is taken in: thirty times those of a group of
 64. A datagram that names more comes from no agent, and its map would fill the memory of the VM."""
 
@@ -61,29 +61,29 @@
         in_force: The map in force, None while it is not known.
     """
 
-    __slots__ = ("_change", "_order", "_whole", "in_force")
+    __slots__ = ("_change", "_order", "_full_map", "in_force")
 
     def __init__(self) -> None:
         self.in_force: Prepare | None = None
         self._order: Prepare | None = None
         self._change: bytes | None = None
-        self._whole = b""
+        self._full_map = b""
 
-    def change(self, order: Prepare) -> bytes | None:
+    def encode_change(self, order: Prepare) -> bytes | None:
         """Return an order as the difference from the map in force, None while that is unknown."""
         self._encode(order)
         return self._change
 
-    def whole(self, order: Prepare) -> bytes:
+    def encode_full(self, order: Prepare) -> bytes:
         """Return an order with its whole map."""
         self._encode(order)
-        return self._whole
+        return self._full_map
 
     def _encode(self, order: Prepare) -> None:
         if order is self._order:
             return
         self._order = order
-        self._whole = msgspec.msgpack.encode(order)
+        self._full_map = msgspec.msgpack.encode(order)
         self._change = None
         if self.in_force is not None:
             self._change = msgspec.msgpack.encode(map_change(self.in_force, order))
@@ -103,7 +103,7 @@
         while len(self._by_version) > MAPS_KEPT:
             del self._by_version[min(self._by_version)]
 
-    def changed(self, change: MapChange) -> Prepare:
+    def apply(self, change: MapChange) -> Prepare:
         """Return the order that a difference stands for.
 
         Raises:
@@ -113,9 +113,9 @@
         base = self._base(change)
         layers = [[set(held) for held in layer] for layer in base]
         try:
-            for layer, rank, expert in _cells(change.going):
+            for layer, rank, expert in _rows(change.going):
                 layers[layer][rank].discard(expert)
-            for layer, rank, expert in _cells(change.coming):
+            for layer, rank, expert in _rows(change.coming):
                 layers[layer][rank].add(expert)
         except (IndexError, ValueError) as exc:
             raise GroupError(Code.RANK_MALFORMED, f"the change cannot be applied: {exc}") from exc
@@ -125,9 +125,9 @@
 
     def _base(self, change: MapChange) -> Placement:
         if change.base == 0:
-            if not 0 < change.layers * max(change.experts, change.ranks) <= MOST_CELLS:
+            if not 0 < change.layers * max(change.experts, change.ranks) <= MAX_CELLS:
                 raise GroupError(Code.RANK_MALFORMED, "the change names a map of no such size")
-            return first_placement(change.layers, change.experts, change.ranks)
+            return initial_placement(change.layers, change.experts, change.ranks)
         known = self._by_version.get(change.base)
         if known is None:
             raise GroupError(Code.RANK_MALFORMED, f"map {change.base} is not known here")
@@ -159,7 +159,7 @@
     return Cells(layers, ranks, experts)
 
 
-def _cells(cells: Cells) -> Iterable[tuple[int, int, int]]:
+def _rows(cells: Cells) -> Iterable[tuple[int, int, int]]:
     """Return the rows of three columns.
 
     Raises:
--- a/carawayhub/experts/members.py
+++ b/carawayhub/experts/members.py
@@ -1,4 +1,4 @@
-"""Who belongs to a group: found by the agent beside rank 0, told to the others."""
+"""Membership of a group: the agent beside rank 0 finds the members and announces them."""
 
 import hashlib
 from collections.abc import Callable, Sequence
@@ -12,32 +12,32 @@
 from carawayhub.clock import Clock
 from carawayhub.errors import GroupError
 from carawayhub.experts.mapwire import MapEncoder
-from carawayhub.experts.model import Rank, RankReport, ReadableRank, TakesOrders
+from carawayhub.experts.model import OrderReceiver, Rank, RankReport, ReadableRank
 from carawayhub.experts.remote import RelayedOrders, RemoteRank
 from carawayhub.gateway.model import EngineProfile
 from carawayhub.peers.questions import QuestionLink
 
-FIRST_ROSTER_SECONDS = 0.3
-ROSTER_SECONDS = 2.0
-"""Seconds between two readings of the published endpoints while ranks of the group are missing, at
-first and at the most. Some ranks register themselves half a second after their group is open; two
-seconds more under the first map made a backlog after a loss of power that lasted four."""
+MIN_ROSTER_SECONDS = 0.3
+MAX_ROSTER_SECONDS = 2.0
+"""Initial and maximum interval between reads of the published endpoints while ranks of the group
+are missing. Some ranks register only half a second after their group opens; two more seconds under
+the initial map cause a backlog that lasts four seconds after a power loss."""
 
 MEMBERS = "members"
-"""Subject of the message by which the agent beside rank 0 tells who belongs together."""
+"""Subject of the message in which the agent beside rank 0 announces the members."""
 
 ALIVE = "alive"
-"""Subject of its message that it lives. It names the members by a checksum: their list, a kilobyte
-for each agent and look, took 40 ms on a link of 4 Mbit/s before each change."""
+"""Subject of its heartbeat, which contains a checksum of the members instead of their list: a
+kilobyte per agent and poll takes 40 ms on a link of 4 Mbit/s before each change."""
 
 
-SURE_TRIES = 2
-"""Times that an agent is told which must have heard it for a change to go on. Its silence would end
-the change and with it what all ranks have copied."""
+CONFIRM_ATTEMPTS = 2
+"""Number of attempts to reach an agent that must acknowledge before a change continues. Without its
+answer the change is given up, and the copies at all ranks are wasted."""
 
 
 class Roster(Protocol):
-    """Where the agents of a service are found."""
+    """Lists the replicas of a service."""
 
     async def replicas(self, group: str) -> Sequence[tuple[str, Address]]:
         """Return the instance id and address of each replica that may belong to a group.
@@ -47,7 +47,7 @@
         """
 
     async def profile(self) -> EngineProfile | None:
-        """Return the profile of the service's engines, None while the store has not named it.
+        """Return the profile of the service's engines, None while the store does not contain it.
 
         Raises:
             PlatformError: As above.
@@ -55,7 +55,7 @@
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """Where a rank of the group is found.
+    """Address of a rank of the group.
 
     Attributes:
         rank: Its position.
@@ -71,7 +71,7 @@
 
     @property
     def address(self) -> Address:
-        """Where its replica listens."""
+        """Address of its replica."""
         return Address(self.host, self.port)
 
 
@@ -80,7 +80,7 @@
 
     Attributes:
         group: Name of the group.
-        epoch: The formation; in a new one a replica may be another incarnation.
+        epoch: The formation; replicas may have new incarnations in each formation.
         members: Its ranks.
     """
 
@@ -88,34 +88,34 @@
     epoch: int
     members: tuple[Member, ...]
 
-    def is_of(self, report: RankReport) -> bool:
-        """Return whether a rank that reports so belongs to it."""
+    def includes(self, report: RankReport) -> bool:
+        """Return whether the rank of a report belongs to this formation."""
         return (self.group, self.epoch) == (report.group, report.epoch)
 
 
 class GroupMembers:
-    """The ranks of one group as one agent reaches them.
+    """The ranks of one group as seen by one agent.
 
     Args:
         ip: IP number of this VM.
-        link: Reaches agents.
-        direct: Makes a client of a replica at an address, which must have an instance id.
-        roster: Finds replicas.
+        link: Sends questions to agents.
+        direct: Creates a client for the replica with an instance id at an address.
+        roster: Lists the replicas.
         clock: Source of time.
 
     Attributes:
-        family: The ranks, None while they are not known.
-        maps: Encodes the maps that the ranks returned last are told.
+        family: The ranks, None while they are unknown.
+        maps: Encoder of the maps sent to the ranks that ``ranks`` returned last.
     """
 
     __slots__ = (
         "_clock",
         "_direct",
-        "_due",
+        "_next_read_at",
         "_ip",
         "_link",
         "_roster",
-        "_roster_pause",
+        "_roster_interval",
         "family",
         "maps",
     )
@@ -133,13 +133,13 @@
         self._direct = direct
         self._roster = roster
         self._clock = clock
-        self._due = 0.0
-        self._roster_pause = FIRST_ROSTER_SECONDS
+        self._next_read_at = 0.0
+        self._roster_interval = MIN_ROSTER_SECONDS
         self.family: Family | None = None
         self.maps = MapEncoder()
 
     async def find(self, report: RankReport) -> bool:
-        """Find all ranks of the group of a rank; return whether all were found.
+        """Find all ranks of the group that a report belongs to; return whether all were found.
 
         Raises:
             PlatformError: The store does not answer.
@@ -152,54 +152,58 @@
         async def ask(instance: str, address: Address) -> None:
             rank = RemoteRank(self._link, address.host, self._direct(address, instance))
             try:
-                told = await rank.report()
+                reply = await rank.report()
             except GroupError as exc:
-                logger.bind(replica=instance, error=str(exc)).info("replica cannot be read")
+                logger.bind(replica=instance, error=str(exc)).info(
+                    "could not read the report of a replica"
+                )
                 return
-            if (told.group, told.epoch) == (report.group, report.epoch):
-                found[told.rank] = Member(told.rank, instance, address.host, address.port)
+            if (reply.group, reply.epoch) == (report.group, report.epoch):
+                found[reply.rank] = Member(reply.rank, instance, address.host, address.port)
 
         async with anyio.create_task_group() as tasks:
             for instance, address in listed:
                 tasks.start_soon(ask, instance, address)
         if len(found) != report.size:
-            logger.bind(found=len(found), size=report.size).info("ranks are missing")
+            logger.bind(found=len(found), size=report.size).info(
+                "not all ranks of the group were found"
+            )
             return False
         members = tuple(found[rank] for rank in sorted(found))
         self.family = Family(report.group, report.epoch, members)
-        self._roster_pause = FIRST_ROSTER_SECONDS
+        self._roster_interval = MIN_ROSTER_SECONDS
         return True
 
     def is_due(self) -> bool:
-        """Return whether the store may be read again; each reading has a price."""
+        """Return whether the store may be read again, since reads are rate-limited."""
         now = self._clock.monotonic()
-        if now < self._due:
+        if now < self._next_read_at:
             return False
-        self._due = now + self._roster_pause
-        self._roster_pause = min(2 * self._roster_pause, ROSTER_SECONDS)
+        self._next_read_at = now + self._roster_interval
+        self._roster_interval = min(2 * self._roster_interval, MAX_ROSTER_SECONDS)
         return True
 
-    def ranks(self, own: int, beside: Rank) -> dict[int, ReadableRank]:
+    def ranks(self, own_rank: int, local_rank: Rank) -> dict[int, ReadableRank]:
         """Return all ranks by position.
 
         Args:
-            own: Position of the rank on this VM.
-            beside: That rank.
+            own_rank: Position of the rank on this VM.
+            local_rank: The rank on this VM.
         """
         maps = self.maps = MapEncoder()
         ranks: dict[int, ReadableRank] = {}
         for each in self.family.members if self.family is not None else ():
             direct = self._direct(each.address, each.instance)
             ranks[each.rank] = RemoteRank(self._link, each.host, direct, maps)
-        ranks[own] = beside
+        ranks[own_rank] = local_rank
         return ranks
 
-    def detour(self) -> TakesOrders | None:
-        """Return the way to rank 0 over the agent beside rank 1, None for a group of one.
+    def relay_to_first_rank(self) -> OrderReceiver | None:
+        """Return a relay to rank 0 by the agent beside rank 1, None for a group of one.
 
-        The orders name no instance. After a crash the entries of two incarnations stand at one
-        address for some seconds, and the one found need not be the one that lives; it would refuse
-        every hold. The formation that an order names tells incarnations apart as well.
+        The orders contain no instance id. After a crash the store lists two incarnations at the
+        same address for some seconds, and orders for the old one would be refused. The formation
+        in each order distinguishes incarnations as well.
         """
         members = self.family.members if self.family is not None else ()
         if len(members) < 2:
@@ -207,42 +211,42 @@
         first, second = members[0], members[1]
         return RelayedOrders(self._link, second.host, "", first.address)
 
-    async def tell(self, tries: int = 1) -> bool:
-        """Tell all agents that this one lives and who belongs together.
+    async def announce(self, attempts: int = 1) -> bool:
+        """Send a heartbeat to all agents, and the members to those that do not know them.
 
         Args:
-            tries: How often an agent is told that does not answer.
+            attempts: Number of attempts for an agent that does not answer.
 
         Returns:
-            Whether every one of them has heard it.
+            Whether all agents have answered.
         """
         if self.family is None:
             return False
         content = msgspec.msgpack.encode(self.family)
         checksum = _checksum(content)
         others = [each.host for each in self.family.members if each.host != self._ip]
-        heard: list[str] = []
+        reached: list[str] = []
 
-        async def tell(host: str) -> None:
-            for _ in range(tries):
+        async def announce(host: str) -> None:
+            for _ in range(attempts):
                 answer = await self._link.ask(host, ALIVE, checksum)
                 if answer is not None and not answer.ok:
                     answer = await self._link.ask(host, MEMBERS, content)
                 if answer is not None:
-                    heard.append(host)
+                    reached.append(host)
                     return
 
         async with anyio.create_task_group() as tasks:
             for host in others:
-                tasks.start_soon(tell, host)
-        return len(heard) == len(others)
+                tasks.start_soon(announce, host)
+        return len(reached) == len(others)
 
-    async def tell_surely(self) -> bool:
-        """Tell all agents as ``tell`` does, those that do not answer again."""
-        return await self.tell(SURE_TRIES)
+    async def announce_with_retry(self) -> bool:
+        """Send an announcement with ``CONFIRM_ATTEMPTS`` attempts per agent."""
+        return await self.announce(CONFIRM_ATTEMPTS)
 
-    def knows(self, checksum: bytes) -> bool:
-        """Return whether the ranks known here are those that a checksum stands for."""
+    def matches_checksum(self, checksum: bytes) -> bool:
+        """Return whether a checksum matches the known members."""
         if self.family is None:
             return False
         return _checksum(msgspec.msgpack.encode(self.family)) == checksum
--- a/carawayhub/experts/model.py
+++ b/carawayhub/experts/model.py
@@ -1,4 +1,4 @@
-"""What ranks report and which orders they take."""
+"""Reports of ranks and the orders they accept."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -11,23 +11,23 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RankReport:
-    """What a rank says of itself.
+    """State that a rank reports.
 
     Attributes:
         group: Name of its group.
-        epoch: Formation of the group; a new one begins with the first map and without orders.
+        epoch: Formation of the group; a new one begins with the initial map and without orders.
         rank: Its position.
-        size: Ranks of the group.
-        open: Whether the group takes work.
-        step: Last pass that was begun.
+        size: Number of ranks of the group.
+        open: Whether the group accepts requests.
+        step: Last pass that began.
         version: Version of the map in force.
-        prepared: Version whose experts it has copied, 0 for none.
-        armed: Version that it switches to, 0 for none.
-        armed_step: Pass at which it does, 0 for none.
-        held: Pass that the group does not begin, 0 for none.
-        running: Requests that it runs.
-        waiting: Requests that wait in it.
-        born: When it started, by a clock of its own; 0 where it does not say.
+        prepared: Version whose experts are copied, 0 for none.
+        armed: Version that the rank will switch to, 0 for none.
+        armed_step: Pass at which it will switch, 0 for none.
+        held: Pass that the group must not begin, 0 for none.
+        running: Number of running requests.
+        waiting: Number of queued requests.
+        born: Start time by the rank's own clock, 0 if not reported.
     """
 
     group: str
@@ -51,11 +51,11 @@
     """How often the requests of a rank chose each expert since it started.
 
     Attributes:
-        epoch: Formation in which it was read.
-        step: Last pass then.
-        counts: By expert, one layer set after the other.
-        present: Requests that run or wait in it.
-        born: When it started, by a clock of its own; 0 where it does not say.
+        epoch: Formation at the time of the report.
+        step: Last pass that began before the report.
+        counts: Number of choices by expert, one layer set after the other.
+        present: Number of running or queued requests.
+        born: Start time by the rank's own clock, 0 if not reported.
     """
 
     epoch: int
@@ -67,13 +67,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Growth:
-    """How the counters of a rank grew since they were last looked at.
+    """Growth of a rank's counters since the previous poll.
 
     Attributes:
-        unit: Choices that one step of ``levels`` stands for.
-        levels: Growth by expert, one layer set after the other, a byte each with few values:
-            enough to tell the experts that matter, and a fraction of the counters on the link.
-        present: Requests that run or wait in the rank.
+        unit: Number of choices per level.
+        levels: Quantised growth by expert, one layer set after the other, a byte each. The few
+            levels suffice to identify the popular experts and take a fraction of the bandwidth
+            of the counters.
+        present: Number of running or queued requests.
     """
 
     unit: float
@@ -87,7 +88,7 @@
 
     Attributes:
         version: Version of the map in force.
-        experts: Its experts.
+        experts: Experts of the rank under that map.
     """
 
     version: int
@@ -96,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Copy the experts that a map adds to the rank.
+    """Order to copy the experts that a map adds to the rank.
 
     Attributes:
         version: Version of the map.
@@ -109,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arm:
-    """Switch to a prepared map as a pass begins.
+    """Order to switch to a prepared map when a pass begins.
 
     Attributes:
         version: Version of the map.
@@ -122,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disarm:
-    """Do not switch after all.
+    """Order to cancel an armed switch.
 
     Attributes:
         version: Version of the map.
@@ -133,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """Do not begin a pass until told to go.
+    """Order not to begin a pass until a ``Go`` order.
 
     Attributes:
         step: The pass.
@@ -144,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Go:
-    """Begin a pass that was held.
+    """Order to begin a pass that was held.
 
     Attributes:
         step: The pass.
@@ -157,36 +158,36 @@
 
 
 class OrderAnswer(Enum):
-    """What came of an order."""
+    """Result of an order; UNKNOWN if no answer was received."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
     UNKNOWN = "unknown"
 
 
-class TakesOrders(Protocol):
-    """A way by which orders reach a rank."""
+class OrderReceiver(Protocol):
+    """Accepts orders for a rank."""
 
     async def order(self, order: RankOrder, epoch: int, fence: int) -> OrderAnswer:
-        """Give an order that holds only in a formation.
+        """Send an order that is valid only in one formation.
 
-        An engine that checks fencing tokens refuses it after one with a higher ``fence``. An order
-        without an answer may be carried out any time later.
+        An engine that checks fencing tokens refuses the order after one with a higher ``fence``. An
+        order without an answer may still take effect later.
         """
 
 
-class ReadableRank(TakesOrders, Protocol):
-    """A rank as a change of map needs it."""
+class ReadableRank(OrderReceiver, Protocol):
+    """A rank as used by a change of map."""
 
     async def report(self) -> RankReport:
-        """Return what the rank says of itself.
+        """Return the state of the rank.
 
         Raises:
             GroupError: RANK_UNREACHABLE, RANK_MALFORMED.
         """
 
     async def held_experts(self) -> HeldExperts:
-        """Return the experts of the rank now.
+        """Return the experts that the rank holds now.
 
         Raises:
             GroupError: As above.
@@ -194,7 +195,7 @@
 
 
 class Rank(ReadableRank, Protocol):
-    """A rank as the agent beside it reaches it."""
+    """A rank as seen by the agent on its VM."""
 
     async def counts(self) -> RankCounts:
         """Return how often each expert was chosen.
@@ -204,19 +205,19 @@
         """
 
 
-def held_of(placement: Placement, rank: int) -> tuple[tuple[int, ...], ...]:
-    """Return the experts that a rank holds under a map, by layer set."""
+def experts_of_rank(placement: Placement, rank: int) -> tuple[tuple[int, ...], ...]:
+    """Return the experts of a rank under a map, by layer set."""
     return tuple(layer[rank] for layer in placement)
 
 
-def first_placement(layers: int, experts: int, ranks: int) -> Placement:
-    """Return the map of a new formation, which deals the experts out in turn."""
+def initial_placement(layers: int, experts: int, ranks: int) -> Placement:
+    """Return the map of a new formation, with the experts distributed round-robin."""
     row = tuple(tuple(range(rank, experts, ranks)) for rank in range(ranks))
     return tuple(row for _ in range(layers))
 
 
-def is_whole(placement: Placement, experts: int, places: int) -> bool:
-    """Return whether a map holds every expert somewhere and fits the places of each rank."""
+def is_complete(placement: Placement, experts: int, places: int) -> bool:
+    """Return whether a map places every expert and respects the capacity of each rank."""
     return all(
         _covers(layer, experts) and all(len(set(held)) == len(held) <= places for held in layer)
         for layer in placement
--- a/carawayhub/experts/remote.py
+++ b/carawayhub/experts/remote.py
@@ -31,14 +31,14 @@
 GROWTH = "growth"
 EXPERTS = "experts"
 MAP_CHANGE = "map change"
-ORDERS: dict[str, type[Any]] = {
+ORDER_TYPES: dict[str, type[Any]] = {
     "prepare": Prepare,
     "arm": Arm,
     "disarm": Disarm,
     "hold": Hold,
     "go": Go,
 }
-NAMES = {kind: name for name, kind in ORDERS.items()}
+ORDER_NAMES = {kind: name for name, kind in ORDER_TYPES.items()}
 
 
 class RemoteRank:
@@ -68,7 +68,7 @@
         content = await self._ask(REPORT)
         if content is None:
             return await self._direct.report()
-        return _decoded(content, RankReport)
+        return _decode(content, RankReport)
 
     async def growth(self) -> Growth:
         """Return how the rank's counters grew since its agent was last asked.
@@ -79,14 +79,14 @@
         content = await self._ask(GROWTH)
         if content is None:
             raise GroupError(Code.RANK_UNREACHABLE, self._ip)
-        return _decoded(content, Growth)
+        return _decode(content, Growth)
 
     async def held_experts(self) -> HeldExperts:
         """Return the experts of the rank; see ``Rank``."""
         content = await self._ask(EXPERTS)
         if content is None:
             return await self._direct.held_experts()
-        return _decoded(content, HeldExperts)
+        return _decode(content, HeldExperts)
 
     async def order(self, order: RankOrder, epoch: int, fence: int) -> OrderAnswer:
         """Give an order; see ``Rank``."""
@@ -95,20 +95,20 @@
         if isinstance(order, Prepare):
             return _order_answer(await self._prepare(order, epoch, fence))
         content = msgspec.msgpack.encode(order)
-        return _order_answer(await self._give(NAMES[type(order)], content, epoch, fence))
+        return _order_answer(await self._send(ORDER_NAMES[type(order)], content, epoch, fence))
 
     async def _prepare(self, order: Prepare, epoch: int, fence: int) -> Answer | None:
         """Tell a map by its difference, or whole to an agent that cannot apply that."""
-        change = self._maps.change(order)
+        change = self._maps.encode_change(order)
         if change is not None:
-            answer = await self._give(MAP_CHANGE, change, epoch, fence)
+            answer = await self._send(MAP_CHANGE, change, epoch, fence)
             if answer is None or answer.ok:
                 return answer
             reason = answer.content.decode(errors="replace")
             logger.bind(agent=self._ip, reason=reason).info("telling the whole map")
-        return await self._give(NAMES[Prepare], self._maps.whole(order), epoch, fence)
+        return await self._send(ORDER_NAMES[Prepare], self._maps.encode_full(order), epoch, fence)
 
-    async def _give(self, subject: str, content: bytes, epoch: int, fence: int) -> Answer | None:
+    async def _send(self, subject: str, content: bytes, epoch: int, fence: int) -> Answer | None:
         answer = await self._link.ask(self._ip, subject, content, epoch, fence)
         self.silent = 0 if answer is not None else self.silent + 1
         return answer
@@ -170,7 +170,7 @@
             self._instance,
             self._address.host,
             self._address.port,
-            NAMES[type(order)],
+            ORDER_NAMES[type(order)],
             msgspec.msgpack.encode(order),
         )
         content = msgspec.msgpack.encode(relayed)
@@ -187,7 +187,7 @@
     """
     try:
         relayed = msgspec.msgpack.decode(question.content, type=RelayedOrder)
-        order = msgspec.msgpack.decode(relayed.content, type=ORDERS[relayed.order])
+        order = msgspec.msgpack.decode(relayed.content, type=ORDER_TYPES[relayed.order])
     except (msgspec.DecodeError, KeyError) as exc:
         return _answer(question, ok=False, content=repr(exc).encode())
     rank = direct(Address(relayed.host, relayed.port), relayed.instance)
@@ -201,7 +201,7 @@
     return OrderAnswer(answer.content.decode())
 
 
-class RankDesk:
+class RankResponder:
     """Answers the questions of other agents about the rank on this VM.
 
     Args:
@@ -229,14 +229,14 @@
             case "report":
                 return msgspec.msgpack.encode(await self._rank.report())
             case "growth":
-                return msgspec.msgpack.encode(self._meter.take(await self._rank.counts()))
+                return msgspec.msgpack.encode(self._meter.measure(await self._rank.counts()))
             case "experts":
                 return msgspec.msgpack.encode(await self._rank.held_experts())
             case "map change":
                 change = msgspec.msgpack.decode(question.content, type=MapChange)
-                return await self._order(self._maps.changed(change), question)
-            case name if name in ORDERS:
-                order = msgspec.msgpack.decode(question.content, type=ORDERS[name])
+                return await self._order(self._maps.apply(change), question)
+            case name if name in ORDER_TYPES:
+                order = msgspec.msgpack.decode(question.content, type=ORDER_TYPES[name])
                 return await self._order(order, question)
             case other:
                 raise GroupError(Code.RANK_MALFORMED, f"unknown question {other!r}")
@@ -252,7 +252,7 @@
     return Answer(number=question.number, asker=question.asker, ok=ok, content=content)
 
 
-def _decoded(content: bytes, kind: type[Any]) -> Any:
+def _decode(content: bytes, kind: type[Any]) -> Any:
     try:
         return msgspec.msgpack.decode(content, type=kind)
     except msgspec.DecodeError as exc:
--- a/carawayhub/experts/tally.py
+++ b/carawayhub/experts/tally.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from carawayhub.experts.planner import Plan
-from carawayhub.experts.switch import Ended
+from carawayhub.experts.switch import ChangeOutcome
 from carawayhub.output.metrics import Recorder, summary_lines
 
 
@@ -20,7 +20,7 @@
     __slots__ = ("_changes", "_copies", "_plan", "_times", "failed_looks", "looks", "pressure")
 
     def __init__(self) -> None:
-        self._changes: Counter[Ended] = Counter()
+        self._changes: Counter[ChangeOutcome] = Counter()
         self._copies = 0
         self._plan: Plan | None = None
         self._times = Recorder()
@@ -28,10 +28,10 @@
         self.failed_looks = 0
         self.pressure = 0.0
 
-    def changed(self, plan: Plan, ended: Ended, seconds: float) -> None:
+    def changed(self, plan: Plan, ended: ChangeOutcome, seconds: float) -> None:
         """Count a change of map and how it ended."""
         self._changes[ended] += 1
-        if ended is not Ended.SWITCHED:
+        if ended is not ChangeOutcome.SWITCHED:
             return
         self._copies += plan.copies
         self._plan = plan
@@ -47,7 +47,7 @@
             f"carawayhub_agent_pressure {self.pressure:.3f}",
             "# TYPE carawayhub_agent_changes_total counter",
         ]
-        for ended in Ended:
+        for ended in ChangeOutcome:
             labels = f'ended="{ended.name.lower()}"'
             lines.append(f"carawayhub_agent_changes_total{{{labels}}} {self._changes[ended]}")
         lines.append(f"carawayhub_agent_copies_total {self._copies}")
--- a/tests/expert_group.py
+++ b/tests/expert_group.py
@@ -19,8 +19,8 @@
     RankCounts,
     RankOrder,
     RankReport,
-    first_placement,
-    held_of,
+    experts_of_rank,
+    initial_placement,
 )
 
 LATE = ((0.05, 0.6), (2.0, 12.0))
@@ -96,15 +96,15 @@
                 continue
             self._begin_pass()
 
-    def form_again(self) -> None:
+    def reform(self) -> None:
         """Restart all ranks in a new formation."""
         self.epoch += 1
         self.states = [RankState() for _ in self.states]
 
-    def start_again(self, rank: int) -> None:
+    def restart_rank(self, rank: int) -> None:
         """Restart a replica under its id, which forms its group anew."""
         born = self.states[rank].born + 1
-        self.form_again()
+        self.reform()
         self.states[rank].born = born
 
     def _begin_pass(self) -> None:
@@ -226,9 +226,9 @@
 
     async def held_experts(self) -> HeldExperts:
         state = self.group.states[self.rank]
-        start = first_placement(1, len(self.group.states), len(self.group.states))
+        start = initial_placement(1, len(self.group.states), len(self.group.states))
         placement = state.maps.get(state.version, start)
-        return HeldExperts(version=state.version, experts=held_of(placement, self.rank))
+        return HeldExperts(version=state.version, experts=experts_of_rank(placement, self.rank))
 
     async def order(self, order: RankOrder, epoch: int, fence: int) -> OrderAnswer:
         return await self.group.order(self.rank, order, epoch, fence)
--- a/tests/test_experts_balance.py
+++ b/tests/test_experts_balance.py
@@ -10,7 +10,7 @@
 from benchmarks.expert_shift import RANKS, ShiftingDemand, follow
 from carawayhub.experts.balancer import Balancer, copies_within
 from carawayhub.experts.demand import Demand
-from carawayhub.experts.model import Growth, first_placement, is_whole
+from carawayhub.experts.model import Growth, initial_placement, is_complete
 from carawayhub.experts.planner import CopyLimits, plan
 from carawayhub.gateway.model import EngineProfile, ExpertShape
 from carawayhub.peers import questions
@@ -27,8 +27,8 @@
 )
 PROFILE = replace(engine(), places=5, experts=SHAPE)
 LOOK = 0.1
-LIMITS = CopyLimits(places=5, new_in_set=2, new_in_rank=3, least_gain=0.02)
-FIRST = first_placement(SHAPE.layers, SHAPE.experts, RANKS)
+LIMITS = CopyLimits(places=5, max_new_per_set=2, max_new_per_rank=3, min_gain=0.02)
+FIRST = initial_placement(SHAPE.layers, SHAPE.experts, RANKS)
 
 
 class PlanTest(unittest.TestCase):
@@ -50,15 +50,15 @@
             self.demand.shift()
             before = current
             current = plan(current, self.demand.shares(), LIMITS).placement
-            self.assertTrue(is_whole(current, SHAPE.experts, SHAPE.places))
+            self.assertTrue(is_complete(current, SHAPE.experts, SHAPE.places))
             for old, new in zip(before, current, strict=True):
                 grown = [len(set(b) - set(a)) for a, b in zip(old, new, strict=True)]
-                self.assertLessEqual(max(grown), LIMITS.new_in_set)
+                self.assertLessEqual(max(grown), LIMITS.max_new_per_set)
 
     def test_copies_that_bring_little_are_not_made(self) -> None:
-        dear = CopyLimits(places=5, new_in_set=2, new_in_rank=3, least_gain=0.3)
+        costly = CopyLimits(places=5, max_new_per_set=2, max_new_per_rank=3, min_gain=0.3)
         shares = self.demand.shares()
-        self.assertLess(plan(FIRST, shares, dear).copies, plan(FIRST, shares, LIMITS).copies)
+        self.assertLess(plan(FIRST, shares, costly).copies, plan(FIRST, shares, LIMITS).copies)
 
     def test_even_demand_is_left_alone(self) -> None:
         even = [[1 / SHAPE.experts] * SHAPE.experts] * SHAPE.layers
@@ -89,9 +89,9 @@
         looked half as popular as ever.
         """
         for _ in range(4):
-            self.demand.take([self.wanted.growth()])
+            self.demand.update([self.wanted.growth()])
         self.wanted.shift()
-        shares = self.demand.take([self.wanted.growth()])
+        shares = self.demand.update([self.wanted.growth()])
         self.assertIsNotNone(shares)
         apart = [
             sum(abs(a - b) for a, b in zip(known, true, strict=True))
@@ -102,13 +102,13 @@
     def test_few_choices_are_added_up(self) -> None:
         size = SHAPE.layers * SHAPE.experts
         little = Growth(unit=1.0, levels=bytes([200]) * size, present=1)
-        found = [self.demand.take([little]) is not None for _ in range(12)]
+        found = [self.demand.update([little]) is not None for _ in range(12)]
         self.assertEqual(found.index(True), 5)
         self.assertEqual(found.count(True), 2)
 
     def test_samples_of_ranks_that_just_started_count_nothing(self) -> None:
         started = Growth(unit=0.0, levels=bytes(SHAPE.layers * SHAPE.experts), present=0)
-        self.assertIsNone(self.demand.take([started] * RANKS))
+        self.assertIsNone(self.demand.update([started] * RANKS))
 
 
 class BalancerTest(unittest.TestCase):
--- a/tests/test_experts_large.py
+++ b/tests/test_experts_large.py
@@ -10,9 +10,9 @@
 from carawayhub.addresses import Address
 from carawayhub.experts.demand import GrowthMeter
 from carawayhub.experts.members import Family, GroupMembers, Member
-from carawayhub.experts.model import Placement, Prepare, first_placement
-from carawayhub.experts.remote import RankDesk, relay
-from carawayhub.experts.switch import Ended, Switch
+from carawayhub.experts.model import Placement, Prepare, initial_placement
+from carawayhub.experts.remote import RankResponder, relay
+from carawayhub.experts.switch import ChangeOutcome, Switch
 from carawayhub.peers.pace import LinkPace
 from carawayhub.peers.questions import Answer, Question
 from tests.datagram_net import DatagramNet
@@ -41,7 +41,7 @@
     """A group whose first map has all layer sets."""
 
     def start(self) -> Placement:
-        return first_placement(LAYERS, EXPERTS, len(self.states))
+        return initial_placement(LAYERS, EXPERTS, len(self.states))
 
     def changed(self, rng: random.Random) -> Placement:
         """Return the first map with copies at random ranks."""
@@ -61,10 +61,10 @@
 
     def change(
         self, ranks: int, *, lost: float = 0.0, seed: int = 1, rate: float = SLOW_LINK
-    ) -> tuple[Ended, Switch, ManyRanks]:
+    ) -> tuple[ChangeOutcome, Switch, ManyRanks]:
         group = ManyRanks(ranks, random.Random(seed))
         net = DatagramNet(SLOW_LINK, QUEUE, random.Random(seed), lost)
-        result: list[tuple[Ended, Switch]] = []
+        result: list[tuple[ChangeOutcome, Switch]] = []
 
         async def main() -> None:
             clock = LoopClock()
@@ -74,7 +74,9 @@
                 members = self.members(group, net, clock, rate)
                 reach = members.ranks(0, FakeRank(group, 0))
                 members.maps.in_force = Prepare(0, group.start())
-                switch = Switch(reach, clock, members.tell_surely, members.detour())
+                switch = Switch(
+                    reach, clock, members.announce_with_retry, members.relay_to_first_rank()
+                )
                 ended = await switch.change(group.changed(random.Random(seed)))
                 await anyio.sleep(1.0)
                 result.append((ended, switch))
@@ -93,14 +95,16 @@
             return Answer(number=question.number, asker=question.asker, ok=True)
 
         for rank in range(1, len(group.states)):
-            desk = RankDesk(FakeRank(group, rank), GrowthMeter())
+            responder = RankResponder(FakeRank(group, rank), GrowthMeter())
 
-            async def answer(question: Question, ip: str, desk: RankDesk = desk) -> Answer:
+            async def answer(
+                question: Question, ip: str, responder: RankResponder = responder
+            ) -> Answer:
                 if question.subject == "alive":
                     return await alive(question, ip)
                 if question.subject == "relay":
                     return await relay(question, direct)
-                return await desk.answer(question)
+                return await responder.answer(question)
 
             net.link(host(rank), answer, LinkPace(clock, rate))
         link = net.link(host(0), alive, LinkPace(clock, rate))
@@ -121,7 +125,7 @@
         ended the change.
         """
         ended, switch, group = self.change(64)
-        self.assertIs(ended, Ended.SWITCHED)
+        self.assertIs(ended, ChangeOutcome.SWITCHED)
         self.assertLess(switch.times.ordered, 0.4)
         self.assertEqual(group.mixed, [])
         self.assertLess(group.stood, 0.2)
@@ -136,7 +140,7 @@
             ended, _, group = self.change(64, lost=0.025, seed=seed)
             ends.append(ended)
             self.assertEqual(group.mixed, [])
-        self.assertGreaterEqual(ends.count(Ended.SWITCHED), 7)
+        self.assertGreaterEqual(ends.count(ChangeOutcome.SWITCHED), 7)
 
     def test_time_to_tell_all_ranks_grows_with_their_number_alone(self) -> None:
         times = {ranks: self.change(ranks)[1].times.ordered for ranks in (24, 64, 256)}
--- a/tests/test_experts_members.py
+++ b/tests/test_experts_members.py
@@ -44,7 +44,7 @@
     """A replica that refuses orders for another incarnation."""
 
     def __init__(self, rank: int, instance: str) -> None:
-        self.told = replace(REPORT, rank=rank)
+        self.reported = replace(REPORT, rank=rank)
         self.instance = instance
         self.orders: list[tuple[RankOrder, str]] = []
 
@@ -60,7 +60,7 @@
         self.instance = instance
 
     async def report(self) -> RankReport:
-        return self.replica.told
+        return self.replica.reported
 
     async def counts(self) -> RankCounts:
         return RankCounts(epoch=4, step=9, counts=(1, 2), present=0)
@@ -91,7 +91,7 @@
 class Members(unittest.TestCase):
     """Two agents on loopback addresses."""
 
-    def run_agents(self, story) -> None:
+    def run_agents(self, scenario) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.bind(("127.0.0.1", 0))
             port = sock.getsockname()[1]
@@ -125,7 +125,7 @@
                     tasks.start_soon(agent._link.run)
                 await anyio.sleep(0.05)
                 with anyio.fail_after(10.0):
-                    await story(agents[0]._members)
+                    await scenario(agents[0]._members)
                 tasks.cancel_scope.cancel()
 
         self.agents: list[ExpertAgent] = []
@@ -138,12 +138,12 @@
         named it, and the new one refused that order each time.
         """
 
-        async def story(members) -> None:
+        async def scenario(members) -> None:
             self.assertTrue(await members.find(REPORT))
-            answer = await members.detour().order(Hold(12), 4, 1)
+            answer = await members.relay_to_first_rank().order(Hold(12), 4, 1)
             self.assertIs(answer, OrderAnswer.ACCEPTED)
 
-        self.run_agents(story)
+        self.run_agents(scenario)
         self.assertEqual([order for order, _ in self.replicas[0].orders], [Hold(12)])
 
     def test_store_that_does_not_answer_is_an_error_of_the_store(self) -> None:
@@ -152,7 +152,7 @@
         The error came out of a task group wrapped in another one, which nobody expected.
         """
 
-        async def story(members) -> None:
+        async def scenario(members) -> None:
             async def silent(group: str) -> list[tuple[str, Address]]:
                 raise PlatformError(Code.PLATFORM_UNREACHABLE, "silent")
 
@@ -160,39 +160,39 @@
             with self.assertRaises(PlatformError):
                 await members.find(REPORT)
 
-        self.run_agents(story)
+        self.run_agents(scenario)
 
     def test_all_ranks_are_reached_and_told(self) -> None:
-        async def story(members) -> None:
+        async def scenario(members) -> None:
             self.assertTrue(await members.find(REPORT))
-            self.assertTrue(await members.tell())
+            self.assertTrue(await members.announce())
             ranks = members.ranks(0, FakeClient(self.replicas[0]))
             self.assertEqual((await ranks[1].report()).rank, 1)
             self.assertEqual((await ranks[1].held_experts()).experts, ((0,),))
 
-        self.run_agents(story)
+        self.run_agents(scenario)
 
     def test_ranks_of_another_formation_are_not_taken_for_its_own(self) -> None:
-        async def story(members) -> None:
-            self.replicas[1].told = replace(REPORT, rank=1, epoch=3)
+        async def scenario(members) -> None:
+            self.replicas[1].reported = replace(REPORT, rank=1, epoch=3)
             self.assertFalse(await members.find(REPORT))
             self.assertIsNone(members.family)
 
-        self.run_agents(story)
+        self.run_agents(scenario)
 
     def test_agent_that_restarted_is_told_the_members_again(self) -> None:
         """The sign of life names the members by a checksum, which a new agent knows nothing of."""
 
-        async def story(members) -> None:
+        async def scenario(members) -> None:
             self.assertTrue(await members.find(REPORT))
-            self.assertTrue(await members.tell())
+            self.assertTrue(await members.announce())
             other = self.agents[1]._members
             self.assertEqual(other.family, members.family)
             other.family = None
-            self.assertTrue(await members.tell())
+            self.assertTrue(await members.announce())
             self.assertEqual(other.family, members.family)
 
-        self.run_agents(story)
+        self.run_agents(scenario)
 
     def test_map_is_told_by_what_differs_from_the_one_in_force(self) -> None:
         """Whole maps told to all agents at once overran the link: one was lost in each change."""
@@ -200,17 +200,17 @@
         first = Prepare(7, (((0, 2), (1, 2)), ((0, 2), (1,))))
         second = Prepare(9, (((0, 2), (0, 1)), ((0, 2), (0, 1))))
 
-        async def story(members) -> None:
+        async def scenario(members) -> None:
             await members.find(REPORT)
             rank = members.ranks(0, FakeClient(self.replicas[0]))[1]
             for before, order in ((start, first), (first, second)):
                 members.maps.in_force = before
-                change = members.maps.change(order)
+                change = members.maps.encode_change(order)
                 self.assertLess(len(change), len(msgspec.msgpack.encode(order)) + 16)
                 self.assertIs(await rank.order(order, 4, 0), OrderAnswer.ACCEPTED)
             self.assertEqual([order for order, _ in self.replicas[1].orders], [first, second])
 
-        self.run_agents(story)
+        self.run_agents(scenario)
 
     def test_whole_map_is_told_to_an_agent_that_does_not_know_the_one_before(self) -> None:
         """An agent restarts between two changes.
@@ -221,16 +221,16 @@
         first = Prepare(7, (((0, 1), (2,)),))
         second = Prepare(9, (((0,), (1, 2)),))
 
-        async def story(members) -> None:
+        async def scenario(members) -> None:
             await members.find(REPORT)
             rank = members.ranks(0, FakeClient(self.replicas[0]))[1]
             await rank.order(first, 4, 0)
             members.maps.in_force = first
-            self.agents[1]._desk._maps = KnownMaps()
+            self.agents[1]._responder._maps = KnownMaps()
             self.assertIs(await rank.order(second, 4, 0), OrderAnswer.ACCEPTED)
             self.assertEqual([order for order, _ in self.replicas[1].orders], [first, second])
 
-        self.run_agents(story)
+        self.run_agents(scenario)
 
     def test_change_that_cannot_be_applied_reaches_no_rank(self) -> None:
         """Datagrams of another writer reach an agent.
@@ -239,7 +239,7 @@
         is answered by number, and the rank is not told.
         """
         whole = MapChange(7, 0, 1, 4, 2, Cells([0], [0], [1]), Cells([], [], []))
-        spoiled = [
+        malformed = [
             msgspec.structs.replace(whole, coming=Cells([0], [0, 1], [1])),
             msgspec.structs.replace(whole, coming=Cells([0], [2], [1])),
             msgspec.structs.replace(whole, coming=Cells([0], [-1], [1])),
@@ -248,10 +248,10 @@
             msgspec.structs.replace(whole, base=3),
         ]
         known = KnownMaps()
-        self.assertEqual(known.changed(whole).placement, (((0, 1, 2), (1, 3)),))
-        for change in spoiled:
+        self.assertEqual(known.apply(whole).placement, (((0, 1, 2), (1, 3)),))
+        for change in malformed:
             with self.subTest(change=change), self.assertRaises(GroupError) as raised:
-                known.changed(change)
+                known.apply(change)
             self.assertIs(raised.exception.code, Code.RANK_MALFORMED)
 
 
--- a/tests/test_experts_switch.py
+++ b/tests/test_experts_switch.py
@@ -9,7 +9,7 @@
 
 from benchmarks.virtual_time import LoopClock, VirtualTimeLoop
 from carawayhub.experts.model import Arm, Go, Hold, Placement
-from carawayhub.experts.switch import Ended, Switch
+from carawayhub.experts.switch import ChangeOutcome, Switch
 from tests.expert_group import FakeGroup
 
 RANKS = 3
@@ -29,24 +29,26 @@
     return (tuple(tuple({rank, extra}) for rank in range(RANKS)),)
 
 
-async def heard() -> bool:
+async def all_reached() -> bool:
     """Tell the other agents, who all hear it."""
     return True
 
 
 def switch(group: FakeGroup) -> Switch:
     """Return the changes of one agent."""
-    return Switch(group.ranks(), LoopClock(), heard)
+    return Switch(group.ranks(), LoopClock(), all_reached)
 
 
-def play(group: FakeGroup, story: Callable[[anyio.abc.TaskGroup], Awaitable[None]]) -> None:
+def run_scenario(
+    group: FakeGroup, scenario: Callable[[anyio.abc.TaskGroup], Awaitable[None]]
+) -> None:
     """Run a story beside a group in virtual time."""
 
     async def main() -> None:
         async with anyio.create_task_group() as tasks:
             group.tasks = tasks
             tasks.start_soon(group.run)
-            await story(tasks)
+            await scenario(tasks)
             tasks.cancel_scope.cancel()
 
     anyio.run(main, backend_options={"loop_factory": VirtualTimeLoop})
@@ -55,19 +57,19 @@
 class Change(unittest.TestCase):
     """One giver, orders that are lost or late."""
 
-    def change(self, group: FakeGroup, number: int = 1) -> list[Ended]:
-        ended: list[Ended] = []
+    def change(self, group: FakeGroup, number: int = 1) -> list[ChangeOutcome]:
+        ended: list[ChangeOutcome] = []
 
-        async def story(tasks: anyio.abc.TaskGroup) -> None:
+        async def scenario(tasks: anyio.abc.TaskGroup) -> None:
             ended.append(await switch(group).change(placement(number)))
             await anyio.sleep(1.0)
 
-        play(group, story)
+        run_scenario(group, scenario)
         return ended
 
     def test_all_ranks_switch_without_standing_still(self) -> None:
         group = FakeGroup(RANKS, random.Random(1))
-        self.assertEqual(self.change(group), [Ended.SWITCHED])
+        self.assertEqual(self.change(group), [ChangeOutcome.SWITCHED])
         self.assertEqual(len({each.version for each in group.states}), 1)
         self.assertGreater(group.states[0].version, 0)
         self.assertEqual(group.mixed, [])
@@ -85,35 +87,35 @@
         """A group without requests begins no pass, so the held one lies ahead for long."""
         group = FakeGroup(RANKS, random.Random(2))
         group.idle = True
-        ended: list[Ended] = []
+        ended: list[ChangeOutcome] = []
 
-        async def story(tasks: anyio.abc.TaskGroup) -> None:
+        async def scenario(tasks: anyio.abc.TaskGroup) -> None:
             ended.append(await switch(group).change(placement(1)))
             self.assertEqual({each.version for each in group.states}, {0})
             group.idle = False
             await anyio.sleep(2.0)
 
-        play(group, story)
-        self.assertEqual(ended, [Ended.SWITCHED])
+        run_scenario(group, scenario)
+        self.assertEqual(ended, [ChangeOutcome.SWITCHED])
         self.assertEqual(len({each.version for each in group.states} - {0}), 1)
         self.assertEqual(group.mixed, [])
 
     def test_new_formation_ends_a_change(self) -> None:
         """A rank crashes while experts are copied; the group comes back with its first map."""
         group = FakeGroup(RANKS, random.Random(3))
-        ended: list[Ended] = []
+        ended: list[ChangeOutcome] = []
 
-        async def story(tasks: anyio.abc.TaskGroup) -> None:
+        async def scenario(tasks: anyio.abc.TaskGroup) -> None:
             async def crash() -> None:
                 await anyio.sleep(0.15)
-                group.form_again()
+                group.reform()
 
             tasks.start_soon(crash)
             ended.append(await switch(group).change(placement(1)))
             await anyio.sleep(15.0)
 
-        play(group, story)
-        self.assertIn(ended[0], (Ended.OVERTAKEN, Ended.GIVEN_UP))
+        run_scenario(group, scenario)
+        self.assertIn(ended[0], (ChangeOutcome.OVERTAKEN, ChangeOutcome.GIVEN_UP))
         self.assertEqual(group.mixed, [])
         self.assertEqual({each.held > group.step for each in group.states}, {False})
 
@@ -129,13 +131,13 @@
         """
         group = FakeGroup(RANKS, random.Random(4))
 
-        async def story(tasks: anyio.abc.TaskGroup) -> None:
-            with anyio.CancelScope() as giver:
+        async def scenario(tasks: anyio.abc.TaskGroup) -> None:
+            with anyio.CancelScope() as issuer:
 
                 async def kill() -> None:
                     while not any(isinstance(order, Hold) for _, order in group.accepted):
                         await anyio.sleep(0.001)
-                    giver.cancel()
+                    issuer.cancel()
 
                 tasks.start_soon(kill)
                 await switch(group).change(placement(1))
@@ -144,7 +146,7 @@
             await switch(group).finish()
             await anyio.sleep(1.0)
 
-        play(group, story)
+        run_scenario(group, scenario)
         self.assertEqual(len({each.version for each in group.states} - {0}), 1)
         self.assertEqual(group.mixed, [])
 
@@ -164,14 +166,14 @@
         rng = random.Random(seed)
         group = FakeGroup(RANKS, rng, late=0.3, lost=0.05, answer_lost=0.1)
 
-        async def story(tasks: anyio.abc.TaskGroup) -> None:
+        async def scenario(tasks: anyio.abc.TaskGroup) -> None:
             for number in range(1, 9):
                 with anyio.move_on_after(rng.uniform(0.05, 2.0)):
                     await switch(group).change(placement(number))
                 if rng.random() < 0.1:
-                    group.form_again()
+                    group.reform()
                 if rng.random() < 0.1:
-                    group.start_again(rng.randrange(RANKS))
+                    group.restart_rank(rng.randrange(RANKS))
                 if rng.random() < 0.5:
                     tasks.start_soon(switch(group).finish)
                 group.idle = rng.random() < 0.2
@@ -184,7 +186,7 @@
                 await anyio.sleep(1.0)
                 await switch(group).finish()
 
-        play(group, story)
+        run_scenario(group, scenario)
         return group
 
     def test_group_goes_on_when_a_rank_falls_silent_before_it_is_armed(self) -> None:
@@ -194,9 +196,9 @@
         the group standing, and callers would see their streams stop.
         """
         group = FakeGroup(RANKS, random.Random(6))
-        ended: list[Ended] = []
+        ended: list[ChangeOutcome] = []
 
-        async def story(tasks: anyio.abc.TaskGroup) -> None:
+        async def scenario(tasks: anyio.abc.TaskGroup) -> None:
             async def suspend() -> None:
                 while not any(isinstance(order, Hold) for _, order in group.accepted):
                     await anyio.sleep(0.001)
@@ -206,8 +208,8 @@
             ended.append(await switch(group).change(placement(1)))
             await anyio.sleep(1.0)
 
-        play(group, story)
-        self.assertEqual(ended, [Ended.GIVEN_UP])
+        run_scenario(group, scenario)
+        self.assertEqual(ended, [ChangeOutcome.GIVEN_UP])
         self.assertEqual({each.version for each in group.states}, {0})
         self.assertLess(group.stood, 0.5)
         self.assertEqual(group.mixed, [])
@@ -223,7 +225,7 @@
             rng = random.Random(seed)
             group = FakeGroup(RANKS, rng, late=0.2, answer_lost=0.3, silence=0.75)
 
-            async def story(tasks: anyio.abc.TaskGroup, group: FakeGroup = group) -> None:
+            async def scenario(tasks: anyio.abc.TaskGroup, group: FakeGroup = group) -> None:
                 async def suspend() -> None:
                     while not any(isinstance(order, Hold) for _, order in group.accepted):
                         await anyio.sleep(0.001)
@@ -239,52 +241,54 @@
                 await anyio.sleep(1.0)
 
             with self.subTest(seed=seed):
-                play(group, story)
+                run_scenario(group, scenario)
                 self.assertLess(group.stood, 1.0)
                 self.assertEqual(group.mixed, [])
 
     def test_replica_that_starts_again_under_its_id_ends_a_change(self) -> None:
         """A rank that started again holds nothing, though its id and perhaps its formation did."""
         group = FakeGroup(RANKS, random.Random(8))
-        ended: list[Ended] = []
+        ended: list[ChangeOutcome] = []
 
-        async def story(tasks: anyio.abc.TaskGroup) -> None:
+        async def scenario(tasks: anyio.abc.TaskGroup) -> None:
             async def restart() -> None:
                 await anyio.sleep(0.12)
-                group.start_again(1)
+                group.restart_rank(1)
                 group.epoch -= 1
 
             tasks.start_soon(restart)
             ended.append(await switch(group).change(placement(1)))
             await anyio.sleep(1.0)
 
-        play(group, story)
-        self.assertIn(ended[0], (Ended.OVERTAKEN, Ended.GIVEN_UP))
+        run_scenario(group, scenario)
+        self.assertIn(ended[0], (ChangeOutcome.OVERTAKEN, ChangeOutcome.GIVEN_UP))
         self.assertEqual(group.mixed, [])
 
     def test_search_finds_what_the_guards_prevent(self) -> None:
         """Without seeing each rank armed before the pass goes, some pass has two maps."""
 
-        async def careless(self: Switch, rank: int, aim, ends_at: float) -> None:
-            await self._ranks[rank].order(Arm(aim.version, aim.step), aim.epoch, aim.version)
+        async def unchecked_arm(self: Switch, rank: int, point, deadline_at: float) -> None:
+            await self._ranks[rank].order(
+                Arm(point.version, point.step), point.epoch, point.version
+            )
 
-        careful, Switch._reach = Switch._reach, careless
+        original, Switch._arm_rank = Switch._arm_rank, unchecked_arm
         try:
             self.assertTrue(any(self.disturbed(seed).mixed for seed in range(20)))
         finally:
-            Switch._reach = careful
+            Switch._arm_rank = original
 
-    def dying_giver(self, seed: int) -> FakeGroup:
+    def dying_issuer(self, seed: int) -> FakeGroup:
         """A giver dies while rank 0 copies its map, and the next one brings another map."""
         group = FakeGroup(RANKS, random.Random(seed))
 
-        async def story(tasks: anyio.abc.TaskGroup) -> None:
-            with anyio.CancelScope() as giver:
+        async def scenario(tasks: anyio.abc.TaskGroup) -> None:
+            with anyio.CancelScope() as issuer:
 
                 async def kill() -> None:
                     while not any(rank == 0 for rank, _ in group.accepted):
                         await anyio.sleep(0.0001)
-                    giver.cancel()
+                    issuer.cancel()
 
                 tasks.start_soon(kill)
                 await switch(group).change(placement(1))
@@ -294,7 +298,7 @@
             await switch(group).change(placement(2))
             await anyio.sleep(2.0)
 
-        play(group, story)
+        run_scenario(group, scenario)
         return group
 
     def test_no_version_has_two_maps(self) -> None:
@@ -304,17 +308,17 @@
         giver that counted on from the reports would give it to another map, and rank 0 would take
         its own old content for that map.
         """
-        self.assertEqual([seed for seed in range(40) if self.dying_giver(seed).mixed], [])
+        self.assertEqual([seed for seed in range(40) if self.dying_issuer(seed).mixed], [])
 
     def test_version_counted_on_from_reports_has_two_maps(self) -> None:
         def next_version(self: Switch, reports) -> int:
             return 1 + max(max(x.version, x.prepared, x.armed) for x in reports.values())
 
-        careful, Switch._next_version = Switch._next_version, next_version
+        original, Switch._next_version = Switch._next_version, next_version
         try:
-            self.assertTrue(any(self.dying_giver(seed).mixed for seed in range(40)))
+            self.assertTrue(any(self.dying_issuer(seed).mixed for seed in range(40)))
         finally:
-            Switch._next_version = careful
+            Switch._next_version = original
 
     def test_nothing_is_held_while_an_agent_has_not_heard_the_giver(self) -> None:
         """An agent that missed the sign of life could take a change over at any time.
@@ -323,22 +327,22 @@
         """
         group = FakeGroup(RANKS, random.Random(7))
 
-        async def unheard() -> bool:
+        async def not_all_reached() -> bool:
             return False
 
-        async def story(tasks: anyio.abc.TaskGroup) -> None:
-            await Switch(group.ranks(), LoopClock(), unheard).change(placement(1))
+        async def scenario(tasks: anyio.abc.TaskGroup) -> None:
+            await Switch(group.ranks(), LoopClock(), not_all_reached).change(placement(1))
 
-        play(group, story)
+        run_scenario(group, scenario)
         self.assertFalse(any(isinstance(order, Hold) for _, order in group.accepted))
 
     def test_pass_goes_only_after_every_rank_is_armed(self) -> None:
         group = FakeGroup(RANKS, random.Random(5))
 
-        async def story(tasks: anyio.abc.TaskGroup) -> None:
+        async def scenario(tasks: anyio.abc.TaskGroup) -> None:
             await switch(group).change(placement(1))
 
-        play(group, story)
+        run_scenario(group, scenario)
         kinds = [type(order).__name__ for _, order in group.accepted]
         self.assertEqual(kinds.count("Arm"), RANKS)
         self.assertLess(
--- a/tests/test_platform_entries.py
+++ b/tests/test_platform_entries.py
@@ -225,8 +225,8 @@
 
     def test_counts_that_began_anew_are_no_growth(self) -> None:
         meter = GrowthMeter()
-        meter.take(RankCounts(epoch=1, step=5, counts=(10, 10), born=1))
-        growth = meter.take(RankCounts(epoch=1, step=9, counts=(900, 10), born=2))
+        meter.measure(RankCounts(epoch=1, step=5, counts=(10, 10), born=1))
+        growth = meter.measure(RankCounts(epoch=1, step=9, counts=(900, 10), born=2))
         self.assertEqual(growth.unit, 0.0)
 
 
--- a/tests/test_platform_metrics.py
+++ b/tests/test_platform_metrics.py
@@ -9,7 +9,7 @@
 
 from carawayhub.codes import Code
 from carawayhub.experts.planner import Plan
-from carawayhub.experts.switch import Ended
+from carawayhub.experts.switch import ChangeOutcome
 from carawayhub.experts.tally import GroupTally
 from carawayhub.gateway.tally import Tally, ViewSeen
 from carawayhub.platform.probes import METRICS_PATH, METRICS_PORT, metrics_app, probe_app
@@ -40,8 +40,8 @@
     def test_agent_tells_changes_by_how_they_ended(self) -> None:
         tally = GroupTally()
         tally.looks, tally.pressure = 40, 0.75
-        tally.changed(Plan((), 3.4, 1.5, 72, 3), Ended.SWITCHED, 0.26)
-        tally.changed(Plan((), 3.0, 1.4, 60, 3), Ended.GIVEN_UP, 0.02)
+        tally.changed(Plan((), 3.4, 1.5, 72, 3), ChangeOutcome.SWITCHED, 0.26)
+        tally.changed(Plan((), 3.0, 1.4, 60, 3), ChangeOutcome.GIVEN_UP, 0.02)
         status, text = get(metrics_app(tally.page), METRICS_PATH)
         self.assertEqual(status, 200)
         for line in (
