--- a/carawayhub/experts/demand.py
+++ b/carawayhub/experts/demand.py
@@ -81,12 +81,12 @@
         if min(sum(layer) for layer in layers) < MIN_SAMPLE_CHOICES:
             return None
         self._pending_choices = [0.0] * len(self._pending_choices)
-        fresh = [_shares(layer) for layer in layers]
-        before, self._sample = self._sample, fresh
-        if self._estimate is None or before is None or _distance(fresh, before) > CHANGE_DISTANCE:
-            self._estimate = fresh
+        sample = [_shares(layer) for layer in layers]
+        before, self._sample = self._sample, sample
+        if self._estimate is None or before is None or _distance(sample, before) > CHANGE_DISTANCE:
+            self._estimate = sample
         else:
-            self._estimate = _smoothed(fresh, self._estimate)
+            self._estimate = _smoothed(sample, self._estimate)
         return self._estimate
 
     def _add(self, growths: Iterable[Growth]) -> None:
@@ -113,21 +113,21 @@
     return [count / total for count in layer]
 
 
-def _distance(fresh: list[list[float]], before: list[list[float]]) -> float:
+def _distance(sample: list[list[float]], before: list[list[float]]) -> float:
     """Return the sum of absolute differences, averaged over layer sets; at most 2.0."""
     differences = (
         abs(new - old)
-        for late, early in zip(fresh, before, strict=True)
+        for late, early in zip(sample, before, strict=True)
         for new, old in zip(late, early, strict=True)
     )
-    return sum(differences) / len(fresh)
+    return sum(differences) / len(sample)
 
 
-def _smoothed(fresh: list[list[float]], before: list[list[float]]) -> list[list[float]]:
+def _smoothed(sample: list[list[float]], before: list[list[float]]) -> list[list[float]]:
     return [
         [
             (new + PREVIOUS_WEIGHT * old) / (1.0 + PREVIOUS_WEIGHT)
             for new, old in zip(late, early, strict=True)
         ]
-        for late, early in zip(fresh, before, strict=True)
+        for late, early in zip(sample, before, strict=True)
     ]
--- a/carawayhub/experts/mapwire.py
+++ b/carawayhub/experts/mapwire.py
@@ -1,9 +1,8 @@
-"""How a map is told to another agent: by what differs from one that both know.
+"""Encodes maps for other agents as the difference from a map that both sides know.
 
-A whole map of 64 ranks with 12 layer sets of 256 experts is 2.4 KB compressed; told to 63 agents at
-one moment it fills a link of 3 Mbit/s for 0.4 s. The 275 to 384 copies of a usual change take 0.8
-KB: 64 agents behind such links are told in 0.23 s, paced, where whole maps took 0.56 s, or 0.88 s
-with answers that came too late (``tests/test_experts_large.py``, virtual time).
+A full map of 64 ranks with 12 layer sets of 256 experts takes 2.4 KB compressed; sent to 63 agents
+at once, it occupies a link of 3 Mbit/s for 0.4 s. The 275 to 384 copies of a usual change take
+0.8 KB.
 """
 
 from collections.abc import Iterable
@@ -15,16 +14,17 @@
 from carawayhub.experts.model import Placement, Prepare, initial_placement
 
 MAX_CELLS = 1_000_000
-"""Experts over all layer sets and ranks of a map that is taken in: thirty times those of a group of
-64. A datagram that names more comes from no agent, and its map would fill the memory of the VM."""
+"""Maximum number of experts of an accepted map over all layer sets and ranks: thirty times those of
+a group of 64 ranks. A datagram with more does not come from an agent, and its map could exhaust the
+memory of the VM."""
 
 MAPS_KEPT = 4
-"""Maps that an agent remembers to tell a difference from: the one in force and those that were
-prepared since, of which some were given up."""
+"""Number of recent maps that an agent keeps as a base for differences: the one in force and those
+prepared since, including those of abandoned changes."""
 
 
 class Cells(msgspec.Struct, array_like=True):
-    """Experts at ranks, as columns of equal length: these compress to half of what rows do."""
+    """Experts at ranks, as columns of equal length, which compress to half the size of rows."""
 
     layers: list[int]
     ranks: list[int]
@@ -32,17 +32,17 @@
 
 
 class MapChange(msgspec.Struct, array_like=True):
-    """A map to prepare, told by what differs from another.
+    """A map to prepare, as the difference from a base map.
 
     Attributes:
         version: Version of the map.
-        base: Version of the map that it differs from; a version never names two maps, and 0 is the
-            map of each new formation.
-        layers: Layer sets of both maps.
-        experts: Experts of each set.
-        ranks: Ranks of the group.
-        coming: Experts that ranks get.
-        going: Experts that ranks give up.
+        base: Version of the base map. A version is unique to one map; 0 is the initial map of each
+            formation.
+        layers: Number of layer sets of both maps.
+        experts: Number of experts per set.
+        ranks: Number of ranks of the group.
+        coming: Experts added to ranks.
+        going: Experts removed from ranks.
     """
 
     version: int
@@ -55,10 +55,10 @@
 
 
 class MapEncoder:
-    """Encodes orders to prepare a map, once for all ranks that are told.
+    """Encodes orders to prepare a map, once for all recipients.
 
     Attributes:
-        in_force: The map in force, None while it is not known.
+        in_force: The map in force, None while it is unknown.
     """
 
     __slots__ = ("_change", "_order", "_full_map", "in_force")
@@ -75,7 +75,7 @@
         return self._change
 
     def encode_full(self, order: Prepare) -> bytes:
-        """Return an order with its whole map."""
+        """Return an order with its full map."""
         self._encode(order)
         return self._full_map
 
@@ -90,7 +90,7 @@
 
 
 class KnownMaps:
-    """The maps that an agent was told, to find the one that a difference is told from."""
+    """The maps that an agent received, as bases for differences."""
 
     __slots__ = ("_by_version",)
 
@@ -98,17 +98,17 @@
         self._by_version: dict[int, Prepare] = {}
 
     def add(self, order: Prepare) -> None:
-        """Remember a map that was told."""
+        """Remember a received map."""
         self._by_version[order.version] = order
         while len(self._by_version) > MAPS_KEPT:
             del self._by_version[min(self._by_version)]
 
     def apply(self, change: MapChange) -> Prepare:
-        """Return the order that a difference stands for.
+        """Return the order that a difference represents.
 
         Raises:
-            GroupError: RANK_MALFORMED where it cannot be applied, or differs from a map that is not
-                known here, as after a restart of this agent; the giver then tells the whole map.
+            GroupError: RANK_MALFORMED if it cannot be applied, or its base map is unknown here, for
+                example after a restart of this agent; the issuer then sends the full map.
         """
         base = self._base(change)
         layers = [[set(held) for held in layer] for layer in base]
@@ -118,7 +118,9 @@
             for layer, rank, expert in _rows(change.coming):
                 layers[layer][rank].add(expert)
         except (IndexError, ValueError) as exc:
-            raise GroupError(Code.RANK_MALFORMED, f"the change cannot be applied: {exc}") from exc
+            raise GroupError(
+                Code.RANK_MALFORMED, f"map difference cannot be applied: {exc}"
+            ) from exc
         return Prepare(
             change.version, tuple(tuple(tuple(sorted(held)) for held in layer) for layer in layers)
         )
@@ -126,16 +128,16 @@
     def _base(self, change: MapChange) -> Placement:
         if change.base == 0:
             if not 0 < change.layers * max(change.experts, change.ranks) <= MAX_CELLS:
-                raise GroupError(Code.RANK_MALFORMED, "the change names a map of no such size")
+                raise GroupError(Code.RANK_MALFORMED, "size of the initial map is out of range")
             return initial_placement(change.layers, change.experts, change.ranks)
         known = self._by_version.get(change.base)
         if known is None:
-            raise GroupError(Code.RANK_MALFORMED, f"map {change.base} is not known here")
+            raise GroupError(Code.RANK_MALFORMED, f"base map {change.base} is unknown")
         return known.placement
 
 
 def map_change(base: Prepare, order: Prepare) -> MapChange:
-    """Return an order to prepare a map as what differs from ``base``."""
+    """Return an order to prepare a map as the difference from ``base``."""
     coming: list[tuple[int, int, int]] = []
     going: list[tuple[int, int, int]] = []
     for layer, (before, after) in enumerate(zip(base.placement, order.placement, strict=True)):
@@ -163,9 +165,9 @@
     """Return the rows of three columns.
 
     Raises:
-        ValueError: The columns differ in length or a position is negative.
+        ValueError: The columns differ in length or a number is negative.
     """
     rows = list(zip(cells.layers, cells.ranks, cells.experts, strict=True))
     if any(min(row) < 0 for row in rows):
-        raise ValueError("a position is negative")
+        raise ValueError("layer set, rank or expert is negative")
     return rows
--- a/carawayhub/experts/planner.py
+++ b/carawayhub/experts/planner.py
@@ -79,8 +79,8 @@
         limits: Limits on the copies.
     """
     layers = [
-        _Layer(held, part, limits.places, limits.max_new_per_set)
-        for held, part in zip(current, shares, strict=True)
+        _Layer(held, layer_shares, limits.places, limits.max_new_per_set)
+        for held, layer_shares in zip(current, shares, strict=True)
     ]
     before = _mean_skew(layers)
     copied = _apply_best_copies(layers, limits)
@@ -96,7 +96,10 @@
 def skew(current: Placement, shares: Sequence[Sequence[float]]) -> float:
     """Return the load of the busiest rank divided by the mean, averaged over layer sets."""
     return _mean_skew(
-        [_Layer(held, part, 0, 0) for held, part in zip(current, shares, strict=True)]
+        [
+            _Layer(held, layer_shares, 0, 0)
+            for held, layer_shares in zip(current, shares, strict=True)
+        ]
     )
 
 
@@ -107,19 +110,19 @@
 def _apply_best_copies(layers: Sequence["_Layer"], limits: CopyLimits) -> list[int]:
     """Apply copies in descending order of gain; return the number of copies per rank."""
     copied = [0] * (layers[0].ranks if layers else 0)
-    full_ranks: set[int] = set()
-    best = [layer.best_copy(full_ranks) for layer in layers]
+    full: set[int] = set()
+    best = [layer.best_copy(full) for layer in layers]
     while True:
         at = max(range(len(best)), key=lambda each: _gain(best[each]), default=-1)
         copy = best[at] if at >= 0 else None
         if copy is None or copy.gain < limits.min_gain:
             return copied
-        if copy.rank not in full_ranks:
+        if copy.rank not in full:
             layers[at].apply_copy(copy)
             copied[copy.rank] += 1
             if copied[copy.rank] >= limits.max_new_per_rank:
-                full_ranks.add(copy.rank)
-        best[at] = layers[at].best_copy(full_ranks)
+                full.add(copy.rank)
+        best[at] = layers[at].best_copy(full)
 
 
 def _gain(copy: _CandidateCopy | None) -> float:
@@ -176,17 +179,17 @@
         """Return the experts of each rank."""
         return tuple(tuple(sorted(each)) for each in self._held)
 
-    def best_copy(self, full_ranks: set[int]) -> _CandidateCopy | None:
+    def best_copy(self, full: set[int]) -> _CandidateCopy | None:
         """Return the copy that relieves the busiest rank most, None if no copy does.
 
         Args:
-            full_ranks: Ranks that have reached their limit of new experts.
+            full: Ranks that have reached their limit of new experts.
         """
         busiest = max(range(self.ranks), key=self._loads.__getitem__)
         candidates = [
             rank
             for rank in sorted(range(self.ranks), key=self._loads.__getitem__)
-            if rank != busiest and rank not in full_ranks and self._has_room(rank)
+            if rank != busiest and rank not in full and self._has_room(rank)
         ]
         best: tuple[float, int, int] | None = None
         for expert in self._held[busiest]:
@@ -205,25 +208,25 @@
     def apply_copy(self, copy: _CandidateCopy) -> None:
         """Apply a copy; it replaces the least useful expert of a rank without room."""
         rank, expert = copy.rank, copy.expert
-        touched = {rank} | self._holders[expert]
+        affected_ranks = {rank} | self._holders[expert]
         if len(self._held[rank]) >= self._places:
             dropped = self._least_useful(rank)
             if dropped is not None:
-                touched |= self._holders[dropped]
+                affected_ranks |= self._holders[dropped]
                 self._held[rank].discard(dropped)
                 self._holders[dropped].discard(rank)
         self._held[rank].add(expert)
         self._holders[expert].add(rank)
         self._new[rank] += 1
-        for each in touched:
+        for each in affected_ranks:
             self._loads[each] = self._load(each)
 
     def _power_sum_change(self, expert: int, rank: int) -> float:
         """Return the change of the sum of powers if ``rank`` gets a copy of ``expert``."""
         holders = self._holders[expert]
-        part = self._relative_loads[expert]
-        after = part / (len(holders) + 1)
-        reduction = part / len(holders) - after
+        expert_load = self._relative_loads[expert]
+        after = expert_load / (len(holders) + 1)
+        reduction = expert_load / len(holders) - after
         change = _eighth_power(self._loads[rank] + after) - _eighth_power(self._loads[rank])
         for each in holders:
             change += _eighth_power(self._loads[each] - reduction) - _eighth_power(
--- a/carawayhub/experts/remote.py
+++ b/carawayhub/experts/remote.py
@@ -1,4 +1,4 @@
-"""A rank as seen through the agent beside it, and the side that answers for it."""
+"""Access to a rank through the agent on its VM, and the agent's side that answers."""
 
 from collections.abc import Callable
 from typing import Any
@@ -42,14 +42,17 @@
 
 
 class RemoteRank:
-    """A rank that is reached through the agent on its VM, or itself where that does not answer.
+    """A rank that is accessed through the agent on its VM, or directly if the agent is silent.
 
     Args:
-        link: Reaches agents.
+        link: Sends questions to agents.
         ip: IP number of the rank's VM.
-        direct: The rank itself; what goes there has a price, so it is only used when the agent is
-            gone.
-        maps: Encodes the maps that the rank is told, shared by the ranks of its group.
+        direct: Client of the rank itself. Direct requests are costly, so they are only made while
+            the agent doesn't answer.
+        maps: Encoder of the maps sent to the rank, shared by the ranks of its group.
+
+    Attributes:
+        silent: Number of consecutive questions that the agent did not answer.
     """
 
     __slots__ = ("_direct", "_ip", "_link", "_maps", "silent")
@@ -64,17 +67,18 @@
         self.silent = 0
 
     async def report(self) -> RankReport:
-        """Return what the rank says of itself; see ``Rank``."""
+        """Return the state of the rank; see ``Rank``."""
         content = await self._ask(REPORT)
         if content is None:
             return await self._direct.report()
         return _decode(content, RankReport)
 
     async def growth(self) -> Growth:
-        """Return how the rank's counters grew since its agent was last asked.
+        """Return the growth of the rank's counters since its agent was last asked.
 
         Raises:
-            GroupError: RANK_UNREACHABLE where the agent is silent; from afar counters have a price.
+            GroupError: RANK_UNREACHABLE if the agent is silent, since reading the counters directly
+                from another VM is costly.
         """
         content = await self._ask(GROWTH)
         if content is None:
@@ -82,14 +86,14 @@
         return _decode(content, Growth)
 
     async def held_experts(self) -> HeldExperts:
-        """Return the experts of the rank; see ``Rank``."""
+        """Return the experts that the rank holds; see ``Rank``."""
         content = await self._ask(EXPERTS)
         if content is None:
             return await self._direct.held_experts()
         return _decode(content, HeldExperts)
 
     async def order(self, order: RankOrder, epoch: int, fence: int) -> OrderAnswer:
-        """Give an order; see ``Rank``."""
+        """Send an order; see ``Rank``."""
         if self.silent:
             return await self._direct.order(order, epoch, fence)
         if isinstance(order, Prepare):
@@ -98,14 +102,16 @@
         return _order_answer(await self._send(ORDER_NAMES[type(order)], content, epoch, fence))
 
     async def _prepare(self, order: Prepare, epoch: int, fence: int) -> Answer | None:
-        """Tell a map by its difference, or whole to an agent that cannot apply that."""
+        """Send a map as a difference, or the full map to an agent that cannot apply that."""
         change = self._maps.encode_change(order)
         if change is not None:
             answer = await self._send(MAP_CHANGE, change, epoch, fence)
             if answer is None or answer.ok:
                 return answer
             reason = answer.content.decode(errors="replace")
-            logger.bind(agent=self._ip, reason=reason).info("telling the whole map")
+            logger.bind(agent=self._ip, reason=reason).info(
+                "agent could not apply the map difference; sending the full map"
+            )
         return await self._send(ORDER_NAMES[Prepare], self._maps.encode_full(order), epoch, fence)
 
     async def _send(self, subject: str, content: bytes, epoch: int, fence: int) -> Answer | None:
@@ -114,7 +120,7 @@
         return answer
 
     async def _ask(self, subject: str) -> bytes | None:
-        """Return the agent's answer, None where it is silent.
+        """Return the agent's answer, None if it is silent.
 
         Raises:
             GroupError: The agent could not read its rank.
@@ -129,7 +135,7 @@
 
 
 class RelayedOrder(msgspec.Struct, array_like=True):
-    """An order that an agent is asked to give to a rank on another VM.
+    """An order that an agent relays to a rank on another VM.
 
     Attributes:
         instance: Id of the rank's replica.
@@ -147,13 +153,13 @@
 
 
 class RelayedOrders:
-    """The way of orders to a rank over the agent of another rank.
+    """Sends orders to a rank through the agent of another rank.
 
     Args:
-        link: Reaches agents.
-        ip: IP number of the VM whose agent gives the orders.
+        link: Sends questions to agents.
+        ip: IP number of the VM whose agent relays the orders.
         instance: Id of the rank's replica.
-        address: Where that listens.
+        address: Address of the replica.
     """
 
     __slots__ = ("_address", "_instance", "_ip", "_link")
@@ -165,7 +171,7 @@
         self._address = address
 
     async def order(self, order: RankOrder, epoch: int, fence: int) -> OrderAnswer:
-        """Give an order; see ``TakesOrders``."""
+        """Send an order; see ``OrderReceiver``."""
         relayed = RelayedOrder(
             self._instance,
             self._address.host,
@@ -179,11 +185,11 @@
 
 
 async def relay(question: Question, direct: Callable[[Address, str], Rank]) -> Answer:
-    """Give an order to a rank on another VM, as the agent beside that rank asked.
+    """Send an order to a rank on another VM, on behalf of another agent.
 
     Args:
-        question: What was asked.
-        direct: Makes a client of a replica.
+        question: The question with the relayed order.
+        direct: Creates a client for the replica with an instance id at an address.
     """
     try:
         relayed = msgspec.msgpack.decode(question.content, type=RelayedOrder)
@@ -202,11 +208,11 @@
 
 
 class RankResponder:
-    """Answers the questions of other agents about the rank on this VM.
+    """Answers questions of other agents about the rank on this VM.
 
     Args:
         rank: The rank.
-        meter: Remembers its counters.
+        meter: Measures the growth of its counters.
     """
 
     __slots__ = ("_maps", "_meter", "_rank")
--- a/carawayhub/experts/switch.py
+++ b/carawayhub/experts/switch.py
@@ -419,7 +419,7 @@
         """Send an order that the caller repeats until a report shows its effect."""
         if self._clock.monotonic() > deadline_at:
             raise GroupError(
-                Code.RANK_UNREACHABLE, f"no effect of {order} at rank {rank} before the deadline"
+                Code.RANK_UNREACHABLE, f"rank {rank} did not carry out {order} in time"
             )
         answer = await self._ranks[rank].order(order, report.epoch, point.version)
         if answer is OrderAnswer.REFUSED:
--- a/carawayhub/experts/tally.py
+++ b/carawayhub/experts/tally.py
@@ -1,4 +1,4 @@
-"""Counters and times of the agent of a rank, as text for metric collectors."""
+"""Metrics of the agent of a rank, in the text format of metric collectors."""
 
 from collections import Counter
 
@@ -8,13 +8,13 @@
 
 
 class GroupTally:
-    """What one agent measured since it started.
+    """Metrics of one agent since it started.
 
     Attributes:
-        looks: Looks at its rank or group.
-        failed_looks: Those that were given up.
-        pressure: Part of the group's places that will be taken, as last looked at; 0 for an agent
-            that does not decide for its group.
+        looks: Number of polls of the agent's rank or group.
+        failed_looks: Number of failed polls.
+        pressure: Expected fraction of occupied slots of the group as of the last poll, 0 for an
+            agent that is not the leader of its group.
     """
 
     __slots__ = ("_changes", "_copies", "_plan", "_times", "failed_looks", "looks", "pressure")
@@ -29,7 +29,7 @@
         self.pressure = 0.0
 
     def changed(self, plan: Plan, ended: ChangeOutcome, seconds: float) -> None:
-        """Count a change of map and how it ended."""
+        """Count a change of map by its outcome."""
         self._changes[ended] += 1
         if ended is not ChangeOutcome.SWITCHED:
             return
@@ -38,7 +38,7 @@
         self._times.record(seconds)
 
     def page(self) -> str:
-        """Return all counters and times."""
+        """Return all metrics as text."""
         lines = [
             "# TYPE carawayhub_agent_looks_total counter",
             f"carawayhub_agent_looks_total {self.looks}",
--- a/tests/expert_group.py
+++ b/tests/expert_group.py
@@ -23,13 +23,13 @@
     initial_placement,
 )
 
-LATE = ((0.05, 0.6), (2.0, 12.0))
-"""Seconds after which an order without an answer takes effect: within a change, or long after."""
+LATE_DELAY_RANGES = ((0.05, 0.6), (2.0, 12.0))
+"""Ranges of the delay of late orders in seconds: within a change, or long after it."""
 
 
 @dataclass(slots=True)
 class RankState:
-    """What a rank knows."""
+    """State of a rank."""
 
     version: int = 0
     highest: int = 0
@@ -43,18 +43,19 @@
 
 
 class FakeGroup:
-    """Ranks that execute each pass together.
+    """Ranks that execute each pass in lock-step.
 
     Args:
-        ranks: Their number.
-        rng: Draws which orders are lost or late.
-        late: Part of the orders that get no answer and take effect seconds later.
-        lost: Part of the orders that get no answer and never do.
-        answer_lost: Part of the orders that take effect at once and get no answer.
-        silence: Seconds after which a read of a silent rank is given up.
+        ranks: Number of ranks.
+        rng: Random numbers that select lost and late orders.
+        late: Fraction of orders that take effect seconds later and get no answer.
+        lost: Fraction of orders that never take effect and get no answer.
+        answer_lost: Fraction of orders that take effect immediately and get no answer.
+        silence: Timeout for reading a silent rank, in seconds.
 
     Attributes:
         mixed: Passes in which two ranks had different maps.
+        stood: Seconds for which the group stalled at a held pass.
     """
 
     def __init__(
@@ -82,7 +83,7 @@
         self.tasks: anyio.abc.TaskGroup | None = None
 
     def ranks(self) -> dict[int, "FakeRank"]:
-        """Return a new view of all ranks, as one agent has it."""
+        """Return clients of all ranks for one agent."""
         return {at: FakeRank(self, at) for at in range(len(self.states))}
 
     async def run(self, seconds_a_pass: float = 0.05) -> None:
@@ -102,7 +103,7 @@
         self.states = [RankState() for _ in self.states]
 
     def restart_rank(self, rank: int) -> None:
-        """Restart a replica under its id, which forms its group anew."""
+        """Restart a replica under the same id, which forms the group anew."""
         born = self.states[rank].born + 1
         self.reform()
         self.states[rank].born = born
@@ -117,8 +118,8 @@
         if len(maps) != 1:
             self.mixed.append((self.step, tuple(each.version for each in self.states)))
 
-    def take(self, rank: int, order: RankOrder, epoch: int, fence: int) -> bool:
-        """Carry an order out; return whether it was accepted."""
+    def apply(self, rank: int, order: RankOrder, epoch: int, fence: int) -> bool:
+        """Carry out an order; return whether it was accepted."""
         state = self.states[rank]
         if epoch != self.epoch or not self.open:
             return False
@@ -159,7 +160,7 @@
                 return True
 
     async def order(self, rank: int, order: RankOrder, epoch: int, fence: int) -> OrderAnswer:
-        """Take an order as it comes over the network."""
+        """Process an order that arrives over the network."""
         await anyio.sleep(self.rng.uniform(0.001, 0.01))
         drawn = self.rng.random()
         if rank in self.silent:
@@ -168,29 +169,29 @@
                 return OrderAnswer.UNKNOWN
             while rank in self.silent:
                 await anyio.sleep(0.05)
-            self.take(rank, order, epoch, fence)
+            self.apply(rank, order, epoch, fence)
             return OrderAnswer.UNKNOWN
         if drawn < self.lost:
             await anyio.sleep(0.1)
             return OrderAnswer.UNKNOWN
         if drawn < self.lost + self.late:
             assert self.tasks is not None
-            self.tasks.start_soon(self._take_late, rank, order, epoch, fence)
+            self.tasks.start_soon(self._apply_late, rank, order, epoch, fence)
             await anyio.sleep(0.1)
             return OrderAnswer.UNKNOWN
-        accepted = self.take(rank, order, epoch, fence)
+        accepted = self.apply(rank, order, epoch, fence)
         if drawn < self.lost + self.late + self.answer_lost:
             await anyio.sleep(0.1)
             return OrderAnswer.UNKNOWN
         return OrderAnswer.ACCEPTED if accepted else OrderAnswer.REFUSED
 
-    async def _take_late(self, rank: int, order: RankOrder, epoch: int, fence: int) -> None:
-        await anyio.sleep(self.rng.uniform(*self.rng.choice(LATE)))
-        self.take(rank, order, epoch, fence)
+    async def _apply_late(self, rank: int, order: RankOrder, epoch: int, fence: int) -> None:
+        await anyio.sleep(self.rng.uniform(*self.rng.choice(LATE_DELAY_RANGES)))
+        self.apply(rank, order, epoch, fence)
 
 
 class FakeRank:
-    """One rank as one agent reaches it; see ``carawayhub.experts.model.Rank``."""
+    """One rank as seen by one agent; see ``carawayhub.experts.model.Rank``."""
 
     def __init__(self, group: FakeGroup, rank: int) -> None:
         self.group = group
--- a/tests/test_experts_balance.py
+++ b/tests/test_experts_balance.py
@@ -1,4 +1,4 @@
-"""Maps that follow demand: what is seen of it, what is copied, and when nothing is."""
+"""Balancing of expert maps: estimates of demand, planned copies, and when none are made."""
 
 import random
 import unittest
@@ -26,13 +26,13 @@
     link_rate=5.5e9,
 )
 PROFILE = replace(engine(), places=5, experts=SHAPE)
-LOOK = 0.1
+POLL_SECONDS = 0.1
 LIMITS = CopyLimits(places=5, max_new_per_set=2, max_new_per_rank=3, min_gain=0.02)
 FIRST = initial_placement(SHAPE.layers, SHAPE.experts, RANKS)
 
 
 class PlanTest(unittest.TestCase):
-    """Which copies a change makes."""
+    """Copies that a change makes."""
 
     def setUp(self) -> None:
         self.demand = ShiftingDemand(random.Random(3))
@@ -65,10 +65,10 @@
         self.assertEqual(plan(FIRST, even, LIMITS).copies, 0)
 
     def test_few_copies_a_change_follow_better_than_all_at_once(self) -> None:
-        """Streams of a full group stop for too long between two events, again and again.
+        """Guards against repeated long pauses in the streams of a fully loaded group.
 
-        Demand changes every two seconds. A change that brings every useful copy waits most of a
-        second for the rank that copies most, and is in force when demand is about to change again.
+        Demand changes every two seconds. A change with all useful copies waits most of a second for
+        the rank with the most copies, and takes effect shortly before demand changes again.
         """
         few, all_at_once = follow(3), follow(16)
         self.assertLess(few.skew, all_at_once.skew - 0.1)
@@ -76,17 +76,17 @@
 
 
 class DemandTest(unittest.TestCase):
-    """What is known of demand."""
+    """Estimates of demand."""
 
     def setUp(self) -> None:
         self.wanted = ShiftingDemand(random.Random(5))
         self.demand = Demand(SHAPE.layers, SHAPE.experts)
 
     def test_old_demand_is_dropped_once_it_has_changed(self) -> None:
-        """After new songs come out, ranks still copy the experts of the old ones.
+        """Guards against copies of experts that are no longer popular after a change of demand.
 
-        Samples from before the change were averaged in, so the experts that were wanted before
-        looked half as popular as ever.
+        If samples from before the change are averaged in, the experts that were popular before
+        still appear half as popular.
         """
         for _ in range(4):
             self.demand.update([self.wanted.growth()])
@@ -112,39 +112,39 @@
 
 
 class BalancerTest(unittest.TestCase):
-    """Whether a change is worth its price."""
+    """Whether a change is worth its cost."""
 
     def plans(self, present: int, profile: EngineProfile = PROFILE) -> list[bool]:
         wanted = ShiftingDemand(random.Random(7))
         balancer = Balancer(profile, SHAPE)
         found = []
-        for look in range(12):
+        for poll in range(12):
             growth = wanted.growth()
             each = Growth(unit=growth.unit, levels=growth.levels, present=present)
-            found.append(balancer.decide(FIRST, [each], LOOK * look) is not None)
+            found.append(balancer.decide(FIRST, [each], POLL_SECONDS * poll) is not None)
         return found
 
     def test_idle_group_is_left_alone(self) -> None:
         self.assertFalse(any(self.plans(0)))
 
     def test_group_with_a_quarter_of_its_places_taken_changes(self) -> None:
-        """Guards against streams that are late by pauses until a group is a third full."""
+        """Guards against pauses that delay streams until a group is a third full."""
         self.assertTrue(any(self.plans(2, replace(PROFILE, places=8))[8:]))
 
     def test_full_group_changes_within_a_second(self) -> None:
         self.assertTrue(any(self.plans(5)[:8]))
 
     def test_group_that_is_looked_at_seldom_shows_its_load_as_soon(self) -> None:
-        """Guards against a first map that comes late since a calm group is looked at seldom."""
+        """Guards against a delayed first change, since a calm group is polled less often."""
         pressures = []
         for every in (1, 3):
             wanted = ShiftingDemand(random.Random(7))
             balancer = Balancer(PROFILE, SHAPE)
-            for look in range(0, 13, every):
+            for poll in range(0, 13, every):
                 growth = wanted.growth()
-                present = 5 if look else 0
+                present = 5 if poll else 0
                 each = Growth(unit=growth.unit, levels=growth.levels, present=present)
-                balancer.decide(FIRST, [each], LOOK * look)
+                balancer.decide(FIRST, [each], POLL_SECONDS * poll)
             pressures.append(balancer.pressure)
         self.assertAlmostEqual(pressures[0], pressures[1], delta=0.05 * pressures[0])
 
@@ -165,7 +165,7 @@
 
 
 class Datagrams(unittest.TestCase):
-    """Datagrams between agents."""
+    """Encoding of datagrams between agents."""
 
     def test_large_content_shrinks_and_comes_back(self) -> None:
         levels = bytes([0, 0, 0, 7]) * 500
@@ -175,7 +175,7 @@
         self.assertEqual(questions._decoded(data).question, question)
 
     def test_garbage_is_refused_and_cannot_fill_memory(self) -> None:
-        """A datagram of a few bytes must not unpack to gigabytes in an agent of 168 MB."""
+        """A small datagram must not decompress to gigabytes in an agent of 168 MB."""
         bomb = b"z" + zlib.compress(bytes(100_000_000))
         for data in (bomb, b"", b"z", b"zgarbage", b"p\xff"):
             with self.subTest(size=len(data)):
--- a/tests/test_experts_large.py
+++ b/tests/test_experts_large.py
@@ -1,4 +1,4 @@
-"""Groups of many ranks whose agents stand behind slow links: maps change all the same."""
+"""Changes of map in groups of many ranks whose agents have slow links."""
 
 import random
 import unittest
@@ -19,10 +19,10 @@
 from tests.expert_group import FakeGroup, FakeRank
 
 SLOW_LINK = 375_000.0
-"""Bytes a second: 3 Mbit/s."""
+"""Bytes per second: 3 Mbit/s."""
 
 QUEUE = 32_768
-"""Bytes that wait before a link: 90 ms of it."""
+"""Queue size of a link in bytes, which takes 90 ms to send."""
 
 LAYERS = 12
 EXPERTS = 256
@@ -38,13 +38,13 @@
 
 
 class ManyRanks(FakeGroup):
-    """A group whose first map has all layer sets."""
+    """A group whose initial map has all layer sets."""
 
     def start(self) -> Placement:
         return initial_placement(LAYERS, EXPERTS, len(self.states))
 
     def changed(self, rng: random.Random) -> Placement:
-        """Return the first map with copies at random ranks."""
+        """Return the initial map with additional copies at random ranks."""
         layers = [[set(held) for held in layer] for layer in self.start()]
         for _ in range(COPIES):
             layer = rng.randrange(LAYERS)
@@ -57,7 +57,7 @@
 
 
 class LargeGroups(unittest.TestCase):
-    """One change of the first map."""
+    """One change of the initial map."""
 
     def change(
         self, ranks: int, *, lost: float = 0.0, seed: int = 1, rate: float = SLOW_LINK
@@ -118,11 +118,11 @@
         return members
 
     def test_map_of_64_ranks_changes_over_slow_links(self) -> None:
-        """Groups of 64 kept their first map all day, with three times the mean at one rank.
+        """Guards against groups of 64 ranks that keep their initial map.
 
-        The agent beside rank 0 told 63 others a whole map at one moment. Its link of 3 Mbit/s
-        carried that in 0.4 s, an answer was waited for 0.25 s, and the first one that was missing
-        ended the change.
+        One rank then has three times the mean load. If the agent beside rank 0 sends the full map
+        to 63 others at once, its link of 3 Mbit/s takes 0.4 s, the timeout of an answer is 0.25 s,
+        and the first missing answer ends the change.
         """
         ended, switch, group = self.change(64)
         self.assertIs(ended, ChangeOutcome.SWITCHED)
@@ -131,9 +131,9 @@
         self.assertLess(group.stood, 0.2)
 
     def test_lost_datagrams_cost_no_change_of_64_ranks(self) -> None:
-        """Links lose one datagram in forty, and of 63 answers nearly always one is missing.
+        """Links lose one datagram in forty, so at least one of 63 answers is nearly always lost.
 
-        Each such change was given up, with all that the ranks had copied for it.
+        A lost answer must not end the change and discard the copies that ranks have made.
         """
         ends = []
         for seed in range(8):
--- a/tests/test_experts_members.py
+++ b/tests/test_experts_members.py
@@ -1,4 +1,4 @@
-"""Who belongs to a group, as the agent beside rank 0 finds it and reaches it."""
+"""How the agent beside rank 0 finds the members of a group and communicates with them."""
 
 import socket
 import unittest
@@ -41,7 +41,7 @@
 
 
 class FakeReplica:
-    """A replica that refuses orders for another incarnation."""
+    """A replica that refuses orders to another incarnation."""
 
     def __init__(self, rank: int, instance: str) -> None:
         self.reported = replace(REPORT, rank=rank)
@@ -53,7 +53,7 @@
 
 
 class FakeClient:
-    """A client of a replica that names an incarnation, or none."""
+    """A client of a replica that sends an instance id, or none."""
 
     def __init__(self, replica: FakeReplica, instance: str = "") -> None:
         self.replica = replica
@@ -76,7 +76,7 @@
 
 
 class FakeRoster:
-    """The store with the entries of two incarnations at the address of rank 0."""
+    """A store that may list two incarnations at the address of rank 0."""
 
     def __init__(self, listed: list[tuple[str, Address]]) -> None:
         self.listed = listed
@@ -89,7 +89,7 @@
 
 
 class Members(unittest.TestCase):
-    """Two agents on loopback addresses."""
+    """Two agents at loopback addresses."""
 
     def run_agents(self, scenario) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
@@ -132,10 +132,10 @@
         anyio.run(main)
 
     def test_hold_reaches_rank_0_though_its_former_incarnation_is_still_listed(self) -> None:
-        """After a loss of power no map of a group changed any more, for the rest of the day.
+        """Guards against a group whose map can no longer change after a power loss.
 
-        The store still listed the crashed incarnation at the address of rank 0. The order to hold
-        named it, and the new one refused that order each time.
+        The store still lists the crashed incarnation at the address of rank 0. A hold order that
+        contains its instance id is refused by the new incarnation each time.
         """
 
         async def scenario(members) -> None:
@@ -147,9 +147,9 @@
         self.assertEqual([order for order, _ in self.replicas[0].orders], [Hold(12)])
 
     def test_store_that_does_not_answer_is_an_error_of_the_store(self) -> None:
-        """An agent ended by itself when the store was silent while it looked for its group.
+        """Guards against an agent that exits if the store is silent while it finds its group.
 
-        The error came out of a task group wrapped in another one, which nobody expected.
+        An error raised in a task group is wrapped in an exception group, which is not handled.
         """
 
         async def scenario(members) -> None:
@@ -181,7 +181,7 @@
         self.run_agents(scenario)
 
     def test_agent_that_restarted_is_told_the_members_again(self) -> None:
-        """The sign of life names the members by a checksum, which a new agent knows nothing of."""
+        """The heartbeat contains only a checksum of the members, unknown to a new agent."""
 
         async def scenario(members) -> None:
             self.assertTrue(await members.find(REPORT))
@@ -195,7 +195,7 @@
         self.run_agents(scenario)
 
     def test_map_is_told_by_what_differs_from_the_one_in_force(self) -> None:
-        """Whole maps told to all agents at once overran the link: one was lost in each change."""
+        """Guards against full maps to all agents overloading the link, with one lost per change."""
         start = Prepare(0, (((0, 2), (1,)), ((0, 2), (1,))))
         first = Prepare(7, (((0, 2), (1, 2)), ((0, 2), (1,))))
         second = Prepare(9, (((0, 2), (0, 1)), ((0, 2), (0, 1))))
@@ -215,8 +215,8 @@
     def test_whole_map_is_told_to_an_agent_that_does_not_know_the_one_before(self) -> None:
         """An agent restarts between two changes.
 
-        A change told by what differs must reach no rank as another map than the giver meant; the
-        agent refuses it, and the giver tells the whole map.
+        A difference must not be applied to the wrong base map: the agent rejects it, and the issuer
+        sends the full map.
         """
         first = Prepare(7, (((0, 1), (2,)),))
         second = Prepare(9, (((0,), (1, 2)),))
@@ -233,10 +233,10 @@
         self.run_agents(scenario)
 
     def test_change_that_cannot_be_applied_reaches_no_rank(self) -> None:
-        """Datagrams of another writer reach an agent.
+        """An agent receives malformed datagrams.
 
-        Columns of unequal length, places that do not exist, sizes that would fill the memory: each
-        is answered by number, and the rank is not told.
+        They contain columns of unequal length, positions that don't exist, or sizes that would
+        exhaust the memory. Each is rejected with an error code and not forwarded to the rank.
         """
         whole = MapChange(7, 0, 1, 4, 2, Cells([0], [0], [1]), Cells([], [], []))
         malformed = [
--- a/tests/test_experts_switch.py
+++ b/tests/test_experts_switch.py
@@ -1,4 +1,4 @@
-"""Changes of a group's map: no pass under two maps, whatever becomes of orders and their givers."""
+"""Changes of a group's map: no pass runs under two maps, even if orders or their issuers fail."""
 
 import random
 import unittest
@@ -24,25 +24,25 @@
 
 
 def placement(number: int) -> Placement:
-    """Return a map that differs from that of another number."""
+    """Return a map that depends on a number."""
     extra = number % RANKS
     return (tuple(tuple({rank, extra}) for rank in range(RANKS)),)
 
 
 async def all_reached() -> bool:
-    """Tell the other agents, who all hear it."""
+    """Announce to the other agents; all of them receive it."""
     return True
 
 
 def switch(group: FakeGroup) -> Switch:
-    """Return the changes of one agent."""
+    """Return the switch of one agent."""
     return Switch(group.ranks(), LoopClock(), all_reached)
 
 
 def run_scenario(
     group: FakeGroup, scenario: Callable[[anyio.abc.TaskGroup], Awaitable[None]]
 ) -> None:
-    """Run a story beside a group in virtual time."""
+    """Run a scenario concurrently with a group in virtual time."""
 
     async def main() -> None:
         async with anyio.create_task_group() as tasks:
@@ -55,7 +55,7 @@
 
 
 class Change(unittest.TestCase):
-    """One giver, orders that are lost or late."""
+    """Changes by one issuer whose orders are lost or late."""
 
     def change(self, group: FakeGroup, number: int = 1) -> list[ChangeOutcome]:
         ended: list[ChangeOutcome] = []
@@ -84,7 +84,7 @@
                 self.assertEqual({each.held > group.step for each in group.states}, {False})
 
     def test_idle_group_switches_with_its_next_pass(self) -> None:
-        """A group without requests begins no pass, so the held one lies ahead for long."""
+        """A group without requests begins no pass, so it switches only with the next request."""
         group = FakeGroup(RANKS, random.Random(2))
         group.idle = True
         ended: list[ChangeOutcome] = []
@@ -101,7 +101,7 @@
         self.assertEqual(group.mixed, [])
 
     def test_new_formation_ends_a_change(self) -> None:
-        """A rank crashes while experts are copied; the group comes back with its first map."""
+        """A rank crashes while experts are copied; the group restarts with its initial map."""
         group = FakeGroup(RANKS, random.Random(3))
         ended: list[ChangeOutcome] = []
 
@@ -121,13 +121,13 @@
 
 
 class GiverGone(unittest.TestCase):
-    """The giver dies at any moment; another agent finishes what it left."""
+    """The order issuer dies at any time; another agent finishes its change."""
 
     def test_held_pass_is_let_go_by_another_agent(self) -> None:
-        """The giver holds a pass and dies.
+        """The issuer dies after it held a pass.
 
-        All ranks wait at that pass for ever, and with them all callers, until another agent
-        arms the common map and lets the pass go.
+        All ranks and their callers would wait for that pass forever, unless another agent arms the
+        common map and releases the pass.
         """
         group = FakeGroup(RANKS, random.Random(4))
 
@@ -151,18 +151,18 @@
         self.assertEqual(group.mixed, [])
 
     def test_no_pass_sees_two_maps_whenever_givers_die(self) -> None:
-        """No pass sees two maps, and none stays held.
+        """No pass runs under two maps, and none stays held.
 
-        Givers die at random moments, orders are lost or take effect up to 12 s late, two agents
-        finish at once, formations change.
+        Issuers die at random times, orders are lost or take effect up to 12 s late, two agents
+        finish the same change concurrently, and the group is formed anew.
         """
         for seed in range(200):
             with self.subTest(seed=seed):
-                group = self.disturbed(seed)
+                group = self.run_disturbed(seed)
                 self.assertEqual(group.mixed, [])
                 self.assertEqual({each.held > group.step for each in group.states}, {False})
 
-    def disturbed(self, seed: int) -> FakeGroup:
+    def run_disturbed(self, seed: int) -> FakeGroup:
         rng = random.Random(seed)
         group = FakeGroup(RANKS, rng, late=0.3, lost=0.05, answer_lost=0.1)
 
@@ -192,8 +192,8 @@
     def test_group_goes_on_when_a_rank_falls_silent_before_it_is_armed(self) -> None:
         """A VM is suspended right after a pass was held.
 
-        Its rank can neither be armed nor read for seconds. Waiting for it would keep every rank of
-        the group standing, and callers would see their streams stop.
+        Its rank can be neither armed nor polled for seconds. If the issuer waited for it, all ranks
+        of the group and all streams would stall.
         """
         group = FakeGroup(RANKS, random.Random(6))
         ended: list[ChangeOutcome] = []
@@ -215,11 +215,11 @@
         self.assertEqual(group.mixed, [])
 
     def test_suspended_relay_of_the_hold_stops_the_group_only_for_a_moment(self) -> None:
-        """All streams of a group stood still for four seconds.
+        """Guards against a stall of all streams of a group for four seconds.
 
-        Orders were answered late or not at all, so the order to hold took a third of a second. The
-        VM that gave it was suspended then. Until its rank counted as unreachable, the time had
-        passed in which the giver may let a pass go.
+        Lost and late answers delay the hold order by a third of a second, then the VM that relayed
+        it is suspended. If the issuer waits until that rank counts as unreachable, the time within
+        which it may release the pass unchanged is over.
         """
         for seed in range(30):
             rng = random.Random(seed)
@@ -246,7 +246,7 @@
                 self.assertEqual(group.mixed, [])
 
     def test_replica_that_starts_again_under_its_id_ends_a_change(self) -> None:
-        """A rank that started again holds nothing, though its id and perhaps its formation did."""
+        """A restarted rank holds nothing, though its id and possibly its formation are the same."""
         group = FakeGroup(RANKS, random.Random(8))
         ended: list[ChangeOutcome] = []
 
@@ -265,7 +265,7 @@
         self.assertEqual(group.mixed, [])
 
     def test_search_finds_what_the_guards_prevent(self) -> None:
-        """Without seeing each rank armed before the pass goes, some pass has two maps."""
+        """If ranks are not confirmed as armed before the release, some pass has two maps."""
 
         async def unchecked_arm(self: Switch, rank: int, point, deadline_at: float) -> None:
             await self._ranks[rank].order(
@@ -274,12 +274,12 @@
 
         original, Switch._arm_rank = Switch._arm_rank, unchecked_arm
         try:
-            self.assertTrue(any(self.disturbed(seed).mixed for seed in range(20)))
+            self.assertTrue(any(self.run_disturbed(seed).mixed for seed in range(20)))
         finally:
             Switch._arm_rank = original
 
-    def dying_issuer(self, seed: int) -> FakeGroup:
-        """A giver dies while rank 0 copies its map, and the next one brings another map."""
+    def run_dying_issuer(self, seed: int) -> FakeGroup:
+        """Run a change whose issuer dies while rank 0 copies, then a change to another map."""
         group = FakeGroup(RANKS, random.Random(seed))
 
         async def scenario(tasks: anyio.abc.TaskGroup) -> None:
@@ -292,7 +292,7 @@
 
                 tasks.start_soon(kill)
                 await switch(group).change(placement(1))
-            # Just before the copy is complete: it shows in no report, and soon after it does.
+            # Just before the copy is complete: the reports show it soon after, but not yet.
             copied_at = group.states[0].copied_at
             await anyio.sleep(copied_at - anyio.current_time() - group.rng.uniform(0.0, 0.02))
             await switch(group).change(placement(2))
@@ -302,13 +302,13 @@
         return group
 
     def test_no_version_has_two_maps(self) -> None:
-        """Ranks run one version with two contents, which no report shows.
+        """Guards against ranks that run two maps under one version, which no report shows.
 
-        The version of a map that rank 0 was copying when its giver died is in no report yet. A
-        giver that counted on from the reports would give it to another map, and rank 0 would take
-        its own old content for that map.
+        The version of a map that rank 0 is copying when the issuer dies is in no report yet. If the
+        next issuer derived its version from the reports, it would use the same one for another map,
+        and rank 0 would keep the old map under that version.
         """
-        self.assertEqual([seed for seed in range(40) if self.dying_issuer(seed).mixed], [])
+        self.assertEqual([seed for seed in range(40) if self.run_dying_issuer(seed).mixed], [])
 
     def test_version_counted_on_from_reports_has_two_maps(self) -> None:
         def next_version(self: Switch, reports) -> int:
@@ -316,14 +316,14 @@
 
         original, Switch._next_version = Switch._next_version, next_version
         try:
-            self.assertTrue(any(self.dying_issuer(seed).mixed for seed in range(40)))
+            self.assertTrue(any(self.run_dying_issuer(seed).mixed for seed in range(40)))
         finally:
             Switch._next_version = original
 
     def test_nothing_is_held_while_an_agent_has_not_heard_the_giver(self) -> None:
-        """An agent that missed the sign of life could take a change over at any time.
+        """An agent that missed the announcement could take over a change at any time.
 
-        It would arm ranks for a pass that the giver, which finds another rank silent, lets go.
+        It would arm ranks for a pass that the issuer releases because another rank is silent.
         """
         group = FakeGroup(RANKS, random.Random(7))
 
