--- a/carawayhub/experts/agent.py
+++ b/carawayhub/experts/agent.py
@@ -61,9 +61,9 @@
 
 TAKEOVER_SECONDS = 1.2
 TAKEOVER_STEP_SECONDS = 0.4
-"""Time without a heartbeat from the leader after which the agent beside rank 1 checks
-for a pass that was left held, and the additional delay of each further rank. Together they bound
-how long a group stalls after its order issuer dies."""
+"""Time without a heartbeat from the leader after which the agent beside rank 1 checks for a pass
+that was left held, and the additional delay of each further rank. Together they bound how long a
+group stalls after its order issuer dies."""
 
 SUSPENDED_SECONDS = 2.5
 """Time between two polls above which this agent counts as having been suspended."""
@@ -74,7 +74,7 @@
     """Options of an agent.
 
     Attributes:
-        ip: IP number of the VM.
+        ip: IP address of the VM.
         port: Port on which all agents exchange messages.
         link_rate: Bandwidth of the VM's link in bytes per second, 0 if unknown.
         direct: Creates a client for the replica with an instance id at an address.
@@ -125,15 +125,15 @@
 
     __slots__ = (
         "_clock",
-        "_responder",
         "_leader_seen_at",
         "_leader_state",
         "_link",
-        "_polled_at",
         "_members",
         "_meter",
         "_options",
+        "_polled_at",
         "_rank",
+        "_responder",
         "_roster",
         "_tally",
     )
--- a/carawayhub/experts/balancer.py
+++ b/carawayhub/experts/balancer.py
@@ -9,10 +9,10 @@
 from carawayhub.gateway.model import EngineProfile, ExpertShape
 
 COPY_BYTES_PER_SKEW = 2e10
-"""Bytes per rank that a fully loaded group may copy to reduce its skew by 1.0; a group at half
-load may copy a quarter of that. Further copies gain less than they cost: at 2.5 times this value,
-the copies cost 0.02 of worth with experts of 0.78 GB. Ranks copy in parallel, so
-additional copies take no additional time while each rank copies one expert."""
+"""Bytes per rank that a fully loaded group may copy to reduce its skew by 1.0; a group at half load
+may copy a quarter of that. Further copies gain less than they cost: at 2.5 times this value, the
+copies cost 0.02 of worth with experts of 0.78 GB. Ranks copy in parallel, so additional copies take
+no additional time while each rank copies one expert."""
 
 COPY_BUDGET_SECONDS = 0.17
 """Copying time per change at the rank with the most copies. Demand changes every two to four
@@ -51,7 +51,7 @@
         pressure: Expected fraction of occupied slots at the current skew.
     """
 
-    __slots__ = ("_demand", "_updated_at", "_places", "_shape", "_skew", "_utilisation", "pressure")
+    __slots__ = ("_demand", "_places", "_shape", "_skew", "_updated_at", "_utilisation", "pressure")
 
     def __init__(self, profile: EngineProfile, shape: ExpertShape) -> None:
         self._shape = shape
@@ -111,8 +111,8 @@
     def _sample_weight(self, now: float) -> float:
         """Return the weight of a sample, given the time since the previous one."""
         before, self._updated_at = self._updated_at, now
-        passed = PRESSURE_WINDOW_SECONDS if before is None else now - before
-        return 1.0 - math.exp(-passed / PRESSURE_WINDOW_SECONDS)
+        elapsed = PRESSURE_WINDOW_SECONDS if before is None else now - before
+        return 1.0 - math.exp(-elapsed / PRESSURE_WINDOW_SECONDS)
 
 
 def copies_within(seconds: float, shape: ExpertShape) -> int:
--- a/carawayhub/experts/demand.py
+++ b/carawayhub/experts/demand.py
@@ -16,8 +16,8 @@
 """Distance between two samples (the sum of the absolute differences of their shares) above which
 the demand counts as changed and the previous estimate is discarded. Samples of unchanged demand
 differ by 0.05 to 0.25, those before and after a change by 0.4 to 0.7 (recorded in groups of 24
-ranks, polled every 0.18 s). With the old estimate kept, experts that are no longer popular would
-be copied instead of those that are."""
+ranks, polled every 0.18 s). With the old estimate kept, experts that are no longer popular would be
+copied instead of those that are."""
 
 MAX_LEVEL = 31
 """Highest quantisation level of a counter's growth. The growth of a rank with 12 sets of 256
@@ -62,7 +62,7 @@
         experts: Number of experts per set.
     """
 
-    __slots__ = ("_estimate", "_experts", "_pending_choices", "_layers", "_sample")
+    __slots__ = ("_estimate", "_experts", "_layers", "_pending_choices", "_sample")
 
     def __init__(self, layers: int, experts: int) -> None:
         self._layers = layers
--- a/carawayhub/experts/mapwire.py
+++ b/carawayhub/experts/mapwire.py
@@ -61,7 +61,7 @@
         in_force: The map in force, None while it is unknown.
     """
 
-    __slots__ = ("_change", "_order", "_full_map", "in_force")
+    __slots__ = ("_change", "_full_map", "_order", "in_force")
 
     def __init__(self) -> None:
         self.in_force: Prepare | None = None
--- a/carawayhub/experts/members.py
+++ b/carawayhub/experts/members.py
@@ -60,7 +60,7 @@
     Attributes:
         rank: Its position.
         instance: Id of its replica.
-        host: IP number of its VM.
+        host: IP address of its VM.
         port: Port of its replica.
     """
 
@@ -97,7 +97,7 @@
     """The ranks of one group as seen by one agent.
 
     Args:
-        ip: IP number of this VM.
+        ip: IP address of this VM.
         link: Sends questions to agents.
         direct: Creates a client for the replica with an instance id at an address.
         roster: Lists the replicas.
@@ -111,9 +111,9 @@
     __slots__ = (
         "_clock",
         "_direct",
-        "_next_read_at",
         "_ip",
         "_link",
+        "_next_read_at",
         "_roster",
         "_roster_interval",
         "family",
@@ -144,7 +144,7 @@
         Raises:
             PlatformError: The store does not answer.
         """
-        if not self.is_due():
+        if not self.claim_store_read():
             return False
         listed = await self._roster.replicas(report.group)
         found: dict[int, Member] = {}
@@ -174,8 +174,8 @@
         self._roster_interval = MIN_ROSTER_SECONDS
         return True
 
-    def is_due(self) -> bool:
-        """Return whether the store may be read again, since reads are rate-limited."""
+    def claim_store_read(self) -> bool:
+        """Return whether the store may be read now, and if so delay the next read."""
         now = self._clock.monotonic()
         if now < self._next_read_at:
             return False
--- a/carawayhub/experts/planner.py
+++ b/carawayhub/experts/planner.py
@@ -142,12 +142,12 @@
     __slots__ = (
         "_held",
         "_holders",
+        "_initial",
         "_loads",
         "_max_new",
         "_new",
-        "_initial",
-        "_relative_loads",
         "_places",
+        "_relative_loads",
     )
 
     def __init__(
--- a/carawayhub/experts/remote.py
+++ b/carawayhub/experts/remote.py
@@ -46,7 +46,7 @@
 
     Args:
         link: Sends questions to agents.
-        ip: IP number of the rank's VM.
+        ip: IP address of the rank's VM.
         direct: Client of the rank itself. Direct requests are costly, so they are only made while
             the agent doesn't answer.
         maps: Encoder of the maps sent to the rank, shared by the ranks of its group.
@@ -139,7 +139,7 @@
 
     Attributes:
         instance: Id of the rank's replica.
-        host: IP number of its VM.
+        host: IP address of its VM.
         port: Port of the replica.
         order: Name of the order.
         content: The order in MessagePack.
@@ -157,7 +157,7 @@
 
     Args:
         link: Sends questions to agents.
-        ip: IP number of the VM whose agent relays the orders.
+        ip: IP address of the VM whose agent relays the orders.
         instance: Id of the rank's replica.
         address: Address of the replica.
     """
--- a/carawayhub/experts/switch.py
+++ b/carawayhub/experts/switch.py
@@ -164,13 +164,13 @@
 
     __slots__ = (
         "_announce",
-        "_started_at",
         "_born",
         "_clock",
+        "_exclusive_until",
         "_hold_receiver",
         "_ranks",
         "_sleep",
-        "_exclusive_until",
+        "_started_at",
         "latest",
         "times",
     )
