--- a/tests/expert_group.py
+++ b/tests/expert_group.py
@@ -86,14 +86,14 @@
         """Return clients of all ranks for one agent."""
         return {at: FakeRank(self, at) for at in range(len(self.states))}
 
-    async def run(self, seconds_a_pass: float = 0.05) -> None:
+    async def run(self, seconds_per_pass: float = 0.05) -> None:
         """Execute passes until cancelled."""
         while True:
-            await anyio.sleep(seconds_a_pass)
+            await anyio.sleep(seconds_per_pass)
             if not self.open or self.idle:
                 continue
             if any(state.held == self.step + 1 for state in self.states):
-                self.stood += seconds_a_pass
+                self.stood += seconds_per_pass
                 continue
             self._begin_pass()
 
