--- a/carawayhub/experts/tally.py
+++ b/carawayhub/experts/tally.py
@@ -1,26 +1,26 @@
-"""Counters and times of the agent of a rank, as text for metric collectors."""
+"""Metrics of the agent of a rank, in the text format of metric collectors."""
 
 from collections import Counter
 
 from carawayhub.experts.planner import Plan
-from carawayhub.experts.switch import Ended
+from carawayhub.experts.switch import ChangeOutcome
 from carawayhub.output.metrics import Recorder, summary_lines
 
 
 class GroupTally:
-    """What one agent measured since it started.
+    """Metrics of one agent since it started.
 
     Attributes:
-        looks: Looks at its rank or group.
-        failed_looks: Those that were given up.
-        pressure: Part of the group's places that will be taken, as last looked at; 0 for an agent
-            that does not decide for its group.
+        looks: Number of polls of the agent's rank or group.
+        failed_looks: Number of failed polls.
+        pressure: Expected fraction of occupied slots of the group as of the last poll, 0 for an
+            agent that is not the leader of its group.
     """
 
     __slots__ = ("_changes", "_copies", "_plan", "_times", "failed_looks", "looks", "pressure")
 
     def __init__(self) -> None:
-        self._changes: Counter[Ended] = Counter()
+        self._changes: Counter[ChangeOutcome] = Counter()
         self._copies = 0
         self._plan: Plan | None = None
         self._times = Recorder()
@@ -28,17 +28,17 @@
         self.failed_looks = 0
         self.pressure = 0.0
 
-    def changed(self, plan: Plan, ended: Ended, seconds: float) -> None:
-        """Count a change of map and how it ended."""
+    def changed(self, plan: Plan, ended: ChangeOutcome, seconds: float) -> None:
+        """Count a change of map by its outcome."""
         self._changes[ended] += 1
-        if ended is not Ended.SWITCHED:
+        if ended is not ChangeOutcome.SWITCHED:
             return
         self._copies += plan.copies
         self._plan = plan
         self._times.record(seconds)
 
     def page(self) -> str:
-        """Return all counters and times."""
+        """Return all metrics as text."""
         lines = [
             "# TYPE carawayhub_agent_looks_total counter",
             f"carawayhub_agent_looks_total {self.looks}",
@@ -47,7 +47,7 @@
             f"carawayhub_agent_pressure {self.pressure:.3f}",
             "# TYPE carawayhub_agent_changes_total counter",
         ]
-        for ended in Ended:
+        for ended in ChangeOutcome:
             labels = f'ended="{ended.name.lower()}"'
             lines.append(f"carawayhub_agent_changes_total{{{labels}}} {self._changes[ended]}")
         lines.append(f"carawayhub_agent_copies_total {self._copies}")
--- a/tests/test_experts_large.py
+++ b/tests/test_experts_large.py
@@ -1,4 +1,4 @@
-"""Groups of many ranks whose agents stand behind slow links: maps change all the same."""
+"""Changes of map in groups of many ranks whose agents have slow links."""
 
 import random
 import unittest
@@ -10,19 +10,19 @@
 from carawayhub.addresses import Address
 from carawayhub.experts.demand import GrowthMeter
 from carawayhub.experts.members import Family, GroupMembers, Member
-from carawayhub.experts.model import Placement, Prepare, first_placement
-from carawayhub.experts.remote import RankDesk, relay
-from carawayhub.experts.switch import Ended, Switch
+from carawayhub.experts.model import Placement, Prepare, initial_placement
+from carawayhub.experts.remote import RankResponder, relay
+from carawayhub.experts.switch import ChangeOutcome, Switch
 from carawayhub.peers.pace import LinkPace
 from carawayhub.peers.questions import Answer, Question
 from tests.datagram_net import DatagramNet
 from tests.expert_group import FakeGroup, FakeRank
 
 SLOW_LINK = 375_000.0
-"""Bytes a second: 3 Mbit/s."""
+"""Bytes per second: 3 Mbit/s."""
 
 QUEUE = 32_768
-"""Bytes that wait before a link: 90 ms of it."""
+"""Queue size of a link in bytes, which takes 90 ms to send."""
 
 LAYERS = 12
 EXPERTS = 256
@@ -38,13 +38,13 @@
 
 
 class ManyRanks(FakeGroup):
-    """A group whose first map has all layer sets."""
+    """A group whose initial map has all layer sets."""
 
     def start(self) -> Placement:
-        return first_placement(LAYERS, EXPERTS, len(self.states))
+        return initial_placement(LAYERS, EXPERTS, len(self.states))
 
     def changed(self, rng: random.Random) -> Placement:
-        """Return the first map with copies at random ranks."""
+        """Return the initial map with additional copies at random ranks."""
         layers = [[set(held) for held in layer] for layer in self.start()]
         for _ in range(COPIES):
             layer = rng.randrange(LAYERS)
@@ -57,14 +57,14 @@
 
 
 class LargeGroups(unittest.TestCase):
-    """One change of the first map."""
+    """One change of the initial map."""
 
     def change(
         self, ranks: int, *, lost: float = 0.0, seed: int = 1, rate: float = SLOW_LINK
-    ) -> tuple[Ended, Switch, ManyRanks]:
+    ) -> tuple[ChangeOutcome, Switch, ManyRanks]:
         group = ManyRanks(ranks, random.Random(seed))
         net = DatagramNet(SLOW_LINK, QUEUE, random.Random(seed), lost)
-        result: list[tuple[Ended, Switch]] = []
+        result: list[tuple[ChangeOutcome, Switch]] = []
 
         async def main() -> None:
             clock = LoopClock()
@@ -74,7 +74,9 @@
                 members = self.members(group, net, clock, rate)
                 reach = members.ranks(0, FakeRank(group, 0))
                 members.maps.in_force = Prepare(0, group.start())
-                switch = Switch(reach, clock, members.tell_surely, members.detour())
+                switch = Switch(
+                    reach, clock, members.announce_with_retry, members.relay_to_first_rank()
+                )
                 ended = await switch.change(group.changed(random.Random(seed)))
                 await anyio.sleep(1.0)
                 result.append((ended, switch))
@@ -93,14 +95,16 @@
             return Answer(number=question.number, asker=question.asker, ok=True)
 
         for rank in range(1, len(group.states)):
-            desk = RankDesk(FakeRank(group, rank), GrowthMeter())
+            responder = RankResponder(FakeRank(group, rank), GrowthMeter())
 
-            async def answer(question: Question, ip: str, desk: RankDesk = desk) -> Answer:
+            async def answer(
+                question: Question, ip: str, responder: RankResponder = responder
+            ) -> Answer:
                 if question.subject == "alive":
                     return await alive(question, ip)
                 if question.subject == "relay":
                     return await relay(question, direct)
-                return await desk.answer(question)
+                return await responder.answer(question)
 
             net.link(host(rank), answer, LinkPace(clock, rate))
         link = net.link(host(0), alive, LinkPace(clock, rate))
@@ -114,29 +118,29 @@
         return members
 
     def test_map_of_64_ranks_changes_over_slow_links(self) -> None:
-        """Groups of 64 kept their first map all day, with three times the mean at one rank.
+        """Guards against groups of 64 ranks that keep their initial map.
 
-        The agent beside rank 0 told 63 others a whole map at one moment. Its link of 3 Mbit/s
-        carried that in 0.4 s, an answer was waited for 0.25 s, and the first one that was missing
-        ended the change.
+        One rank then has three times the mean load. If the agent beside rank 0 sends the full map
+        to 63 others at once, its link of 3 Mbit/s takes 0.4 s, the timeout of an answer is 0.25 s,
+        and the first missing answer ends the change.
         """
         ended, switch, group = self.change(64)
-        self.assertIs(ended, Ended.SWITCHED)
+        self.assertIs(ended, ChangeOutcome.SWITCHED)
         self.assertLess(switch.times.ordered, 0.4)
         self.assertEqual(group.mixed, [])
         self.assertLess(group.stood, 0.2)
 
     def test_lost_datagrams_cost_no_change_of_64_ranks(self) -> None:
-        """Links lose one datagram in forty, and of 63 answers nearly always one is missing.
+        """Links lose one datagram in forty, so at least one of 63 answers is nearly always lost.
 
-        Each such change was given up, with all that the ranks had copied for it.
+        A lost answer must not end the change and discard the copies that ranks have made.
         """
         ends = []
         for seed in range(8):
             ended, _, group = self.change(64, lost=0.025, seed=seed)
             ends.append(ended)
             self.assertEqual(group.mixed, [])
-        self.assertGreaterEqual(ends.count(Ended.SWITCHED), 7)
+        self.assertGreaterEqual(ends.count(ChangeOutcome.SWITCHED), 7)
 
     def test_time_to_tell_all_ranks_grows_with_their_number_alone(self) -> None:
         times = {ranks: self.change(ranks)[1].times.ordered for ranks in (24, 64, 256)}
