--- a/benchmarks/limit_cost.py
+++ b/benchmarks/limit_cost.py
@@ -117,10 +117,10 @@
     def name_limits(self) -> None:
         """Have some endpoints name limits, and every teller tell of them."""
         for each in self.ids[:LIMITED]:
-            self.rates.read(each, 3.0, self._clock.monotonic())
+            self.rates.record_limit(each, 3.0, self._clock.monotonic())
         rows = self.rates.rows()
         for teller in self.tellers:
-            self.rates.heard(teller, rows, self._clock.monotonic())
+            self.rates.receive_rows(teller, rows, self._clock.monotonic())
 
     def decide(self) -> None:
         """Make decisions, each on one request that then ends."""
@@ -149,7 +149,9 @@
     def hear(self, rows: list[RateRow]) -> None:
         """Take a datagram again and again."""
         for at in range(EXCHANGES):
-            self.rates.heard(self.tellers[at % len(self.tellers)], rows, self._clock.monotonic())
+            self.rates.receive_rows(
+                self.tellers[at % len(self.tellers)], rows, self._clock.monotonic()
+            )
 
 
 def measured(entries: int, endpoints: int) -> Cost:
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -112,7 +112,7 @@
                 continue
             fleet.time.after(
                 fleet.rng.uniform(0.0, MAX_DELAY),
-                lambda n=name: fleet.nodes[n].admission.hear(  # type: ignore[misc]
+                lambda n=name: fleet.nodes[n].admission.update_demand(  # type: ignore[misc]
                     self.name, self.incarnation, rows
                 ),
             )
@@ -203,7 +203,9 @@
         if not self.forget:
             return
         for name, node in self.nodes.items():
-            node.admission.set_gone(frozenset(n for n in self.names if self.cut(name, n)))
+            node.admission.set_removed_entries(
+                frozenset(n for n in self.names if self.cut(name, n))
+            )
 
     def _replace(self) -> None:
         """Replace a quarter of the entries, the busy ones first; their requests end with them."""
@@ -276,7 +278,7 @@
     for _ in range(rounds):
         timeline.clock.advance(TICK_SECONDS)
         for name in others:
-            admission.hear(name, 1, rows)
+            admission.update_demand(name, 1, rows)
         rows = admission.tick()
     spent = time.process_time() - spent
     most = max(len(msgspec.msgpack.encode(admission.shares.for_peer(n, rows))) for n in others)
--- a/benchmarks/link_parts.py
+++ b/benchmarks/link_parts.py
@@ -124,7 +124,7 @@
     def heard(self, peer: Hello, heartbeat: Heartbeat) -> None:
         """Take demand as an entry does."""
         if self._role is ProcessRole.ENTRY:
-            self._admission.hear(self._neighbour, 1, heartbeat.demand)
+            self._admission.update_demand(self._neighbour, 1, heartbeat.demand)
 
     def report(self, peer: Hello) -> EndpointReport | None:
         """Return a report as an agent's, with the events that are set."""
--- a/benchmarks/overload_entries.py
+++ b/benchmarks/overload_entries.py
@@ -110,7 +110,7 @@
     def take(self, job: Job) -> None:
         """Admit or refuse a job and begin its first attempt."""
         world = self.world
-        self.retries.arrived(job.organisation)
+        self.retries.record_request(job.organisation)
         if world.options.controller:
             query = AdmitQuery(
                 organisation=job.organisation,
@@ -352,4 +352,4 @@
             rows = entry.admission.tick()
             for other in self.entries:
                 if other is not entry:
-                    other.admission.hear(entry.name, 1, rows)
+                    other.admission.update_demand(entry.name, 1, rows)
--- a/benchmarks/rate_limit.py
+++ b/benchmarks/rate_limit.py
@@ -24,7 +24,7 @@
 
 from benchmarks.named_limits import Arrival
 from benchmarks.request_fleet import RequestFleet
-from carawayhub.limits.replicarate import RateRow, ReplicaRates, Surroundings
+from carawayhub.limits.replicarate import FleetEstimate, RateRow, ReplicaRates
 from carawayhub.output.tables import write_table
 
 SIZES = (7, 45, 98)
@@ -172,7 +172,7 @@
         case Policy.IGNORED:
             taken_out: Any = patch.object(rates, "may_send", _always)
         case Policy.ALONE:
-            taken_out = patch.object(rates, "heard", _ignore)
+            taken_out = patch.object(rates, "receive_rows", _ignore)
         case Policy.TOGETHER:
             yield
             return
@@ -180,7 +180,7 @@
         yield
 
 
-def _always(self: ReplicaRates, endpoint_id: str, around: Surroundings) -> bool:
+def _always(self: ReplicaRates, endpoint_id: str, around: FleetEstimate) -> bool:
     return True
 
 
--- a/carawayhub/endpoints/endings.py
+++ b/carawayhub/endpoints/endings.py
@@ -12,7 +12,7 @@
 from carawayhub.codes import Code
 from carawayhub.endpoints.upstream import Listening, Upstream
 from carawayhub.errors import RequestError
-from carawayhub.limits.poison import ENDS_OF_POISON, PoisonRecords
+from carawayhub.limits.poison import POISON_THRESHOLD, PoisonRecords
 
 LOOKS = 2
 """Looks at an endpoint that broke an answer off, while nothing answers at all: on a link that loses
@@ -78,7 +78,7 @@
         """
         if not self._records.is_poison(fingerprint):
             return
-        self._records.came_again(fingerprint)
+        self._records.record_repeat(fingerprint)
         raise self._refusal(fingerprint)
 
     def may_go_on(self, fingerprint: bytes, sends: int) -> bool:
@@ -95,7 +95,7 @@
         """
         if self._records.is_poison(fingerprint):
             return False
-        return not sends or self._records.ends(fingerprint) < ENDS_OF_POISON - 1
+        return not sends or self._records.ends(fingerprint) < POISON_THRESHOLD - 1
 
     @contextmanager
     def waiting(self, fingerprint: bytes) -> Iterator[None]:
@@ -119,7 +119,7 @@
 
     def answered(self, fingerprint: bytes) -> None:
         """Note a whole answer."""
-        self._records.answered(fingerprint)
+        self._records.record_answer(fingerprint)
 
     async def broke_off(self, broken: BrokenAnswer) -> bool:
         """Return whether an endpoint has ended that broke an answer off, and remember it.
@@ -131,7 +131,7 @@
         ended = listening is Listening.NO and not broken.planned
         if ended:
             self._on_end(broken.service)
-            self._records.ended(broken.fingerprint, broken.lifetime)
+            self._records.record_end(broken.fingerprint, broken.lifetime)
         logger.bind(
             request=broken.request,
             content=broken.fingerprint.hex(),
--- a/carawayhub/entry/app.py
+++ b/carawayhub/entry/app.py
@@ -223,7 +223,7 @@
     async def _answer(self, call: Call, req: Incoming) -> None:
         parts = self._parts
         admitted = parts.admission.admit(_admit_query(call))
-        parts.retries.arrived(call.organisation.name)
+        parts.retries.record_request(call.organisation.name)
         answer = Answer(req.send, call.caller_id, parts.clock)
         try:
             await self._run(call, answer, req.receive, admitted)
--- a/carawayhub/entry/process.py
+++ b/carawayhub/entry/process.py
@@ -23,7 +23,7 @@
 from carawayhub.http import HttpServer, bind
 from carawayhub.limits.admission import Admission
 from carawayhub.limits.poison import EndsRow, PoisonRecords
-from carawayhub.limits.poisonnews import PoisonNews
+from carawayhub.limits.poisonnews import PoisonUpdates
 from carawayhub.limits.retries import RetryBudget
 from carawayhub.output.audit import Subject
 from carawayhub.peers.links import Peer, peer_key
@@ -74,7 +74,7 @@
         self._upstream = Upstream(Address.parse(settings.peer_listen).host, clock=clock)
         metrics = runtime.metrics
         records = PoisonRecords(clock)
-        self._poison_news = PoisonNews(records)
+        self._poison_news = PoisonUpdates(records)
         self._runs: dict[str, str] = {}
         endings = Endings(self._upstream, records, clock, metrics.endpoint_ended)
         ends = EndWatch(endings, self._router.is_leaving, clock, rng)
@@ -149,7 +149,7 @@
         while True:
             await anyio.sleep(self.runtime.member.heartbeat_interval())
             self._demand = self._admission.tick()
-            self._poison_news.records.forget_old()
+            self._poison_news.records.expire()
             self._audit_endpoints()
 
     def _audit_endpoints(self) -> None:
@@ -217,7 +217,7 @@
 
         if peer.role is ProcessRole.ENTRY and reply.sequence:
             run = self._runs[peer.name] = str(reply.incarnation)
-            self._poison_news.heard(peer.name, run, reply.sequence)
+            self._poison_news.acknowledge(peer.name, run, reply.sequence)
 
     def lost(self, peer: Peer) -> None:
         """Note that a peer cannot be reached."""
@@ -228,14 +228,14 @@
 
     def members_changed(self) -> None:
         """Leave entries out of answers that are suspect, leaving or gone."""
-        self._admission.set_gone(self._gone_entries())
+        self._admission.set_removed_entries(self._gone_entries())
         self._update_away()
 
     def heard(self, peer: Hello, heartbeat: Heartbeat) -> None:
         """Take a heartbeat of another entry."""
         if peer.role is ProcessRole.ENTRY:
-            self._admission.hear(peer.name, peer.incarnation, heartbeat.demand)
-            self._poison_news.records.take(heartbeat.ends)
+            self._admission.update_demand(peer.name, peer.incarnation, heartbeat.demand)
+            self._poison_news.records.merge(heartbeat.ends)
 
     def report(self, peer: Hello) -> EndpointReport | None:
         """Return None: an entry has no endpoint."""
--- a/carawayhub/entry/relay.py
+++ b/carawayhub/entry/relay.py
@@ -193,7 +193,7 @@
                 repeatable=call.repeatable,
                 attempts=attempts,
                 deadline=call.deadline,
-                answer_begun=answer.started,
+                answer_started=answer.started,
             )
         )
         if not decision.allowed:
--- a/carawayhub/gateway/gossip.py
+++ b/carawayhub/gateway/gossip.py
@@ -21,7 +21,7 @@
 from carawayhub.gateway.retryshare import LONE_PART
 from carawayhub.gateway.telling import INTERVAL, OTHERS, OwnPlace, OwnState, Part, Teller
 from carawayhub.limits.poison import PoisonRecords
-from carawayhub.limits.poisonnews import PoisonNews
+from carawayhub.limits.poisonnews import PoisonUpdates
 from carawayhub.limits.replicarate import RateRow, ReplicaRates
 
 ENTRIES_ALL_TELL_ALL = 12
@@ -107,7 +107,7 @@
         self._clock = clock
         self._rng = rng
         self._peers = Peers(place.ip, place.failure_domain)
-        self._poison_news = PoisonNews(records)
+        self._poison_news = PoisonUpdates(records)
         self._rates = rates
         self._teller = Teller(self.own, self._peers, loads, self._poison_news, rates, clock)
         self._told_at: dict[str, float] = {}
@@ -231,7 +231,7 @@
             self._take_works(heard)
             self.on_loads()
         self._take_news(heard)
-        self._poison_news.records.take(heard.ends)
+        self._poison_news.records.merge(heard.ends)
 
     def _take_entry(self, hello: Hello, phase: Phase) -> None:
         silence = INTERVALS_OF_SILENCE * max(INTERVAL, hello.interval)
@@ -283,7 +283,7 @@
         """Take in limits of replicas; their age is counted as that of news is."""
         written_at = self._answered_at(heard)
         if written_at is not None and rows:
-            self._rates.heard(teller, rows, written_at)
+            self._rates.receive_rows(teller, rows, written_at)
 
     def _answered_at(self, heard: Heard) -> float | None:
         """Return a moment that is not after the writing of a datagram, None where none is known."""
@@ -300,7 +300,7 @@
         """
         if heard.answers_run != self.own.incarnation:
             return
-        self._poison_news.heard(heard.hello.ip, heard.hello.incarnation, heard.answers)
+        self._poison_news.acknowledge(heard.hello.ip, heard.hello.incarnation, heard.answers)
         sent_at = self._answered_at(heard)
         if sent_at is not None:
             self.on_news(heard.hello.news, sent_at - heard.hello.news.age)
@@ -378,7 +378,7 @@
             self._seeds |= {ip}
             self._forget_teller(ip)
         self._peers.drop(gone, "silent", now)
-        self._poison_news.keep(frozenset(self._peers.ips()))
+        self._poison_news.retain(frozenset(self._peers.ips()))
         if self._teller.part is not Part.EQUAL:
             late = [each for each, at in self._told_at.items() if now - at > DIGEST_SECONDS]
             for teller in late:
--- a/carawayhub/gateway/pool.py
+++ b/carawayhub/gateway/pool.py
@@ -254,7 +254,7 @@
         work = place.work
         left = Work(work.requests, 0 if place.read else work.reading, work.tokens)
         self._loads.end(place.endpoint.id, left)
-        self._claims.freed()
+        self._claims.record_release()
         if ran:
             self.line.ended()
         self.serve_line()
@@ -312,14 +312,14 @@
         chosen = self._choose(work, frozenset())
         if chosen is None or not chosen.free:
             return None
-        self._claims.taken()
+        self._claims.record_acquisition()
         return self._begin(chosen.endpoint, work)
 
     def _may_claim(self) -> bool:
         """Return whether a free place of the engines is this entry's to take."""
         if not self._kv_tokens():
             return True
-        return self._claims.may_take(self._free_places(), self._wanted(), self._news())
+        return self._claims.may_acquire(self._free_places(), self._wanted(), self._news())
 
     def _free_places(self) -> int:
         """Return the places that are free as far as is known."""
--- a/carawayhub/gateway/process.py
+++ b/carawayhub/gateway/process.py
@@ -318,7 +318,7 @@
         """
         published = self._view.ids()
         self._health.forget(published)
-        self._records.forget_old()
+        self._records.expire()
         now = self._clock.monotonic()
         if now >= self._forget_limits_at:
             self._forget_limits_at = now + FORGET_SECONDS
--- a/carawayhub/gateway/relay.py
+++ b/carawayhub/gateway/relay.py
@@ -285,11 +285,11 @@
             return
         match head.limit:
             case NamedLimit(per_second=per_second):
-                self._parts.rates.read(endpoint.id, per_second, sent_at)
+                self._parts.rates.record_limit(endpoint.id, per_second, sent_at)
             case UnreadableLimit(text=text):
-                self._parts.rates.unreadable(endpoint.id, text)
+                self._parts.rates.record_unreadable(endpoint.id, text)
             case None:
-                self._parts.rates.read(endpoint.id, None, sent_at)
+                self._parts.rates.record_limit(endpoint.id, None, sent_at)
 
     def _check(self, course: _Course, head: AnswerHead) -> None:
         """Raise where an answer must not reach the caller.
--- a/carawayhub/gateway/servicelimits.py
+++ b/carawayhub/gateway/servicelimits.py
@@ -12,7 +12,7 @@
 from carawayhub.gateway.calls import Admitted
 from carawayhub.gateway.model import Endpoint
 from carawayhub.gateway.placement import Chosen
-from carawayhub.limits.replicarate import ReplicaRates, Surroundings
+from carawayhub.limits.replicarate import FleetEstimate, ReplicaRates
 
 OVERLOAD = 1.25
 """Requests of callers over what limited endpoints take from which on waiting is in vain. Up to it
@@ -95,7 +95,7 @@
         """
         if not self.any_named:
             return pick(tried)
-        around = Surroundings(wanted, self._news(), self._part_heard())
+        around = FleetEstimate(wanted, self._news(), self._part_heard())
         passed = set(tried)
         while True:
             chosen = pick(passed)
@@ -106,7 +106,7 @@
 
     def sent(self, endpoint: Endpoint) -> None:
         """Count a request that goes to an endpoint."""
-        self._rates.sent(endpoint.id)
+        self._rates.record_send(endpoint.id)
 
     def pause(self, endpoints: Sequence[Endpoint]) -> float:
         """Return the mean seconds between two requests that endpoints take, 0 if they say none.
@@ -115,7 +115,7 @@
         """
         if not self.any_named:
             return 0.0
-        return self._rates.wait(each.id for each in endpoints)
+        return self._rates.mean_interval(each.id for each in endpoints)
 
     def expected_wait(self, endpoints: Sequence[Endpoint], waiting: int) -> float:
         """Return the seconds that one more request would wait, 0 where no limit holds it up.
--- a/carawayhub/gateway/telling.py
+++ b/carawayhub/gateway/telling.py
@@ -27,7 +27,7 @@
 )
 from carawayhub.gateway.loads import Loads, Works
 from carawayhub.gateway.peers import Peers
-from carawayhub.limits.poisonnews import PoisonNews
+from carawayhub.limits.poisonnews import PoisonUpdates
 from carawayhub.limits.replicarate import ReplicaRates
 
 INTERVAL = 0.1
@@ -171,7 +171,7 @@
         own: OwnState,
         peers: Peers,
         loads: Loads,
-        poison_news: PoisonNews,
+        poison_news: PoisonUpdates,
         rates: ReplicaRates,
         clock: Clock,
     ) -> None:
--- a/carawayhub/limits/account.py
+++ b/carawayhub/limits/account.py
@@ -5,7 +5,7 @@
 from carawayhub.limits.bucket import TokenBucket
 from carawayhub.limits.shares import Allowance, Demand
 
-CALM_GAIN = 0.1
+STEADY_GAIN = 0.1
 JUMP_GAIN = 0.5
 JUMP_DEVIATIONS = 3.0
 HEADROOM = 1.03
@@ -24,7 +24,7 @@
         "_measured_at",
         "_peak",
         "_rate",
-        "_refused_slots",
+        "_rejected_slots",
         "_single",
         "_slots",
         "_wanted_slots",
@@ -39,7 +39,7 @@
         self._arrivals = 0
         self._rate = 0.0
         self._peak = 0
-        self._refused_slots = 0
+        self._rejected_slots = 0
         self._wanted_slots = 0.0
         self._measured_at = now
 
@@ -49,7 +49,7 @@
         self._slots = allowance.slots
         self._single = allowance.single
 
-    def arrived(self) -> None:
+    def record_arrival(self) -> None:
         """Count a request, admitted or not."""
         self._arrivals += 1
 
@@ -63,17 +63,17 @@
             return True
         return self.running == 0 and self._single
 
-    def refused_slot(self) -> None:
+    def record_slot_rejection(self) -> None:
         """Count a request that was refused for want of a slot."""
-        self._refused_slots += 1
+        self._rejected_slots += 1
 
-    def begun(self, now: float) -> None:
+    def record_start(self, now: float) -> None:
         """Count a request that was admitted."""
         self._bucket.spend(1.0, now)
         self.running += 1
         self._peak = max(self._peak, self.running)
 
-    def ended(self) -> None:
+    def record_end(self) -> None:
         """Count the end of a request."""
         self.running -= 1
 
@@ -81,21 +81,21 @@
         """Return what the organisation's callers ask for, measured since the last call."""
         elapsed = now - self._measured_at
         if elapsed > 0.0:
-            self._rate = _follow(self._rate * elapsed, self._arrivals) / elapsed
-            self._wanted_slots = _follow(self._wanted_slots, self._peak + self._refused_slots)
+            self._rate = _smoothed(self._rate * elapsed, self._arrivals) / elapsed
+            self._wanted_slots = _smoothed(self._wanted_slots, self._peak + self._rejected_slots)
             self._measured_at = now
             self._arrivals = 0
             self._peak = self.running
-            self._refused_slots = 0
+            self._rejected_slots = 0
         return Demand(self._rate * HEADROOM, self._wanted_slots, self.running)
 
 
-def _follow(mean: float, count: int) -> float:
+def _smoothed(mean: float, count: int) -> float:
     """Return a mean moved towards a count: slowly within chance, quickly where it has shifted.
 
     A want that follows chance makes every entry give up and take parts at each tick, and what is
     on the way between two entries is used by neither.
     """
     chance = JUMP_DEVIATIONS * math.sqrt(mean + 1.0)
-    gain = CALM_GAIN if abs(count - mean) <= chance else JUMP_GAIN
+    gain = STEADY_GAIN if abs(count - mean) <= chance else JUMP_GAIN
     return mean + gain * (count - mean)
--- a/carawayhub/limits/adaptive.py
+++ b/carawayhub/limits/adaptive.py
@@ -6,21 +6,21 @@
 WINDOW_SECONDS = 0.25
 MIN_SAMPLES = 4
 LOW_QUANTILE = 0.25
-FIRST_LIMIT = 8.0
+INITIAL_LIMIT = 8.0
 MIN_LIMIT = 4.0
-WAIT_SECONDS = 0.2
-WAIT_BASES = 3.0
-MAX_CUT = 0.85
-GROWTH = 0.1
-FIRST_GROWTH = 0.5
-FAR_BELOW = 0.5
-BASE_DRIFT = 0.01
-FLOOR_DRIFT = 0.2
-BINDING = 0.6
-BUSY = 0.4
-
-
-def _unknown() -> float | None:
+ALLOWED_WAIT_SECONDS = 0.2
+ALLOWED_WAIT_FACTOR = 3.0
+MIN_CUT_FACTOR = 0.85
+GROWTH_FRACTION = 0.1
+INITIAL_GROWTH_FRACTION = 0.5
+FAR_BELOW_FRACTION = 0.5
+BASE_GAIN = 0.01
+FLOOR_BASE_GAIN = 0.2
+LIMITING_FRACTION = 0.6
+BUSY_LOAD = 0.4
+
+
+def _unknown_load() -> float | None:
     return None
 
 
@@ -43,19 +43,23 @@
     __slots__ = ("_settled", "_peak", "_waits", "_window_until", "base", "value")
 
     def __init__(self) -> None:
-        self.value = FIRST_LIMIT
+        self.value = INITIAL_LIMIT
         self.base: float | None = None
         self._settled = False
         self._peak = 0
         self._waits: list[float] = []
         self._window_until = 0.0
 
-    def running(self, count: int) -> None:
+    def record_running(self, count: int) -> None:
         """Note how many requests run."""
         self._peak = max(self._peak, count)
 
-    def answered(
-        self, wait: float, running: int, now: float, load: Callable[[], float | None] = _unknown
+    def record_first_byte(
+        self,
+        wait: float,
+        running: int,
+        now: float,
+        load: Callable[[], float | None] = _unknown_load,
     ) -> None:
         """Take the seconds that a request waited for the first byte of its answer.
 
@@ -66,7 +70,7 @@
             load: Gives the load of the target's endpoints over their capacity, None for unknown.
         """
         self._waits.append(wait)
-        self._start_up(wait, running, load)
+        self._raise_on_fast_answer(wait, running, load)
         if now < self._window_until or len(self._waits) < MIN_SAMPLES:
             return
         self._waits.sort()
@@ -76,8 +80,12 @@
         self._peak = running
         self._window_until = now + WINDOW_SECONDS
 
-    def failed(
-        self, wait: float, running: int, now: float, load: Callable[[], float | None] = _unknown
+    def record_failure(
+        self,
+        wait: float,
+        running: int,
+        now: float,
+        load: Callable[[], float | None] = _unknown_load,
     ) -> None:
         """Take a request that ended without an answer.
 
@@ -86,9 +94,11 @@
         answers nothing would leave no waits at all. So a failure counts only above the base.
         """
         if self.base is not None and wait > self.base:
-            self.answered(wait, running, now, load)
+            self.record_first_byte(wait, running, now, load)
 
-    def _start_up(self, wait: float, running: int, load: Callable[[], float | None]) -> None:
+    def _raise_on_fast_answer(
+        self, wait: float, running: int, load: Callable[[], float | None]
+    ) -> None:
         """Raise the limit by one for each quick answer of endpoints that have room to spare.
 
         Guards against a limit that starves itself: with streams that run for long, no answer
@@ -96,12 +106,12 @@
         A restarted entry then refused nearly all streams of idle endpoints. Each request that a
         raise lets in brings an answer, and so the next raise.
         """
-        if running < BINDING * self.value or self.base is None:
+        if running < LIMITING_FRACTION * self.value or self.base is None:
             return
-        if wait >= FAR_BELOW * max(WAIT_SECONDS, WAIT_BASES * self.base):
+        if wait >= FAR_BELOW_FRACTION * max(ALLOWED_WAIT_SECONDS, ALLOWED_WAIT_FACTOR * self.base):
             return
         known = load()
-        if known is not None and known < BUSY:
+        if known is not None and known < BUSY_LOAD:
             self.value += 1.0
 
     def _adjust(self, low: float, load: float | None) -> None:
@@ -113,25 +123,27 @@
         themselves, as whole ones do, can look the same; endpoints with room to spare tell them
         apart.
         """
-        busy = load is None or load >= BUSY
-        allowed = max(WAIT_SECONDS, WAIT_BASES * self._learn_base(low))
+        busy = load is None or load >= BUSY_LOAD
+        allowed = max(ALLOWED_WAIT_SECONDS, ALLOWED_WAIT_FACTOR * self._update_base(low))
         if low > allowed and busy:
-            cut = min(self.value, self._peak) * max(MAX_CUT, allowed / low)
+            cut = min(self.value, self._peak) * max(MIN_CUT_FACTOR, allowed / low)
             self.value = max(MIN_LIMIT, cut)
             self._settled = True
-        elif self._peak >= BINDING * self.value:
-            self.value += self._growth(low < allowed * FAR_BELOW)
+        elif self._peak >= LIMITING_FRACTION * self.value:
+            self.value += self._growth_step(low < allowed * FAR_BELOW_FRACTION)
         else:
             self._settled = True
 
-    def _growth(self, far_below: bool) -> float:
+    def _growth_step(self, far_below: bool) -> float:
         """Return the next step up: a large one at first and far below what is allowed."""
         step = math.sqrt(self.value) / 2.0
         if not far_below:
             return step
-        return max(step, self.value * (GROWTH if self._settled else FIRST_GROWTH))
+        return max(
+            step, self.value * (GROWTH_FRACTION if self._settled else INITIAL_GROWTH_FRACTION)
+        )
 
-    def _learn_base(self, low: float) -> float:
+    def _update_base(self, low: float) -> float:
         """Return the base: it falls at once, and rises slowly and only with room to spare.
 
         Guards against a base that is no longer true, as with longer prompts or slower endpoints:
@@ -141,7 +153,7 @@
         if self.base is None or low < self.base:
             self.base = low
         elif self.value <= MIN_LIMIT:
-            self.base += FLOOR_DRIFT * (low - self.base)
-        elif self._peak < BINDING * self.value:
-            self.base += BASE_DRIFT * (low - self.base)
+            self.base += FLOOR_BASE_GAIN * (low - self.base)
+        elif self._peak < LIMITING_FRACTION * self.value:
+            self.base += BASE_GAIN * (low - self.base)
         return self.base
--- a/carawayhub/limits/allotment.py
+++ b/carawayhub/limits/allotment.py
@@ -7,10 +7,10 @@
 
 INTERVAL_SECONDS = 0.1
 RATE_GAIN = 0.2
-HOLD_GAIN = 0.05
+HOLD_TIME_GAIN = 0.05
 MARGIN_DEVIATIONS = 2.0
-UNKNOWN_PART = 0.05
-FORGET_RATE = 0.01
+NEW_FLOW_FRACTION = 0.05
+IDLE_RATE = 0.01
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,14 +48,14 @@
     part while another of the same priority keeps all that it asks for.
     """
 
-    __slots__ = ("_divided_at", "_flows", "_hold")
+    __slots__ = ("_divided_at", "_flows", "_mean_hold")
 
     def __init__(self) -> None:
         self._flows: dict[Key, _Flow] = {}
-        self._hold = 0.0
+        self._mean_hold = 0.0
         self._divided_at: float | None = None
 
-    def arrived(self, key: Key, now: float, limit: float) -> None:
+    def record_arrival(self, key: Key, now: float, limit: float) -> None:
         """Count a request, admitted or not."""
         self._flow(key, limit).arrivals += 1
         if self._divided_at is None:
@@ -73,27 +73,31 @@
             full: Whether that many run now; a key may then have only what it asked for.
         """
         flow = self._flow(key, limit)
-        allotted = min(flow.allotted, self._asked(flow)) if full else flow.allotted
+        allotted = min(flow.allotted, self._requested_slots(flow)) if full else flow.allotted
         return flow.running < allotted
 
-    def begun(self, key: Key) -> None:
+    def record_start(self, key: Key) -> None:
         """Count a request that was admitted."""
         self._flow(key, 0.0).running += 1
 
-    def ended(self, key: Key, held: float) -> None:
+    def record_end(self, key: Key, held: float) -> None:
         """Count the end of a request that was held for some seconds."""
         self._flow(key, 0.0).running -= 1
-        self._hold = held if self._hold <= 0.0 else self._hold + HOLD_GAIN * (held - self._hold)
+        self._mean_hold = (
+            held
+            if self._mean_hold <= 0.0
+            else self._mean_hold + HOLD_TIME_GAIN * (held - self._mean_hold)
+        )
 
     def _flow(self, key: Key, limit: float) -> _Flow:
         flow = self._flows.get(key)
         if flow is None:
-            flow = self._flows[key] = _Flow(1.0 + UNKNOWN_PART * limit)
+            flow = self._flows[key] = _Flow(1.0 + NEW_FLOW_FRACTION * limit)
         return flow
 
-    def _asked(self, flow: _Flow) -> float:
+    def _requested_slots(self, flow: _Flow) -> float:
         """Return the requests a flow would have running, with room for chance."""
-        mean = flow.rate * self._hold
+        mean = flow.rate * self._mean_hold
         return mean + MARGIN_DEVIATIONS * math.sqrt(mean) + 1.0
 
     def _divide(self, limit: float, elapsed: float) -> None:
@@ -101,10 +105,10 @@
         for key, flow in list(self._flows.items()):
             flow.rate += RATE_GAIN * (flow.arrivals / elapsed - flow.rate)
             flow.arrivals = 0
-            if flow.rate < FORGET_RATE and flow.running == 0:
+            if flow.rate < IDLE_RATE and flow.running == 0:
                 del self._flows[key]
                 continue
-            by_priority.setdefault(key.priority, {})[key] = self._asked(flow)
+            by_priority.setdefault(key.priority, {})[key] = self._requested_slots(flow)
         left = limit
         for priority in sorted(by_priority):
             parts = water_fill(left, by_priority[priority])
--- a/carawayhub/limits/claims.py
+++ b/carawayhub/limits/claims.py
@@ -1,12 +1,11 @@
-"""Which free places an entry may take while its peers do not know of it yet.
-
-The load pattern this answers: more requests than places at several entries at once. Each hears of
-the others' choices a tenth of a second later, so all of them took the same few places: a group of
-72 places was given 84 requests, the rest queued in the engines, and the first events of all came
-late. A place that a request of one's own gave back is free for certain, and no peer knows of it
-yet, so it is taken again at once. Of the others, each entry draws its part once for each news. At
-twice what can be served, 30 of 100 callers are so in time and 22 without
-(``benchmarks.group_load``).
+"""Decides which free slots an entry may acquire before its peers receive an update about it.
+
+If several entries have more requests than there are free slots, each receives the others' choices
+a tenth of a second later, and all of them would acquire the same few slots: a group of 72 slots
+was given 84 requests, the excess queued in the engines, and the first events of all requests were
+late. A slot that this entry's own request released is certainly free and not yet known to any
+peer, so it is reused immediately. For the other slots, each entry makes one random draw per
+propagation delay.
 """
 
 import random
@@ -14,51 +13,51 @@
 
 from carawayhub.clock import Clock
 
-MOST_FREED = 64
-"""Places of one's own that are remembered: more than come free between two news."""
+MAX_RELEASES = 64
+"""Own released slots that are remembered: more than are released within one propagation delay."""
 
 
 class Claims:
-    """The places of one group of endpoints that this entry may take.
+    """Decides whether this entry may acquire free slots of one group of endpoints.
 
     Args:
         clock: Source of time.
-        rng: Draws who takes a place that several want.
+        rng: Source of the random draws between competing entries.
     """
 
-    __slots__ = ("_clock", "_draw_at", "_freed", "_rng")
+    __slots__ = ("_clock", "_next_draw_at", "_releases", "_rng")
 
     def __init__(self, clock: Clock, rng: random.Random) -> None:
         self._clock = clock
         self._rng = rng
-        self._freed: deque[float] = deque(maxlen=MOST_FREED)
-        self._draw_at = float("-inf")
+        self._releases: deque[float] = deque(maxlen=MAX_RELEASES)
+        self._next_draw_at = float("-inf")
 
-    def freed(self) -> None:
-        """Note that a request of this entry gave its place back."""
-        self._freed.append(self._clock.monotonic())
+    def record_release(self) -> None:
+        """Record that a request of this entry released its slot."""
+        self._releases.append(self._clock.monotonic())
 
-    def may_take(self, free: float, wanted: float, news: float) -> bool:
-        """Return whether this entry may take a place.
+    def may_acquire(self, free: float, expected_arrivals: float, propagation_delay: float) -> bool:
+        """Return whether this entry may acquire a slot.
 
         Args:
-            free: Places that are free as far as is known.
-            wanted: Requests that come to all entries before they hear of each other.
-            news: Seconds until they do.
+            free: Slots that are free as far as this entry knows.
+            expected_arrivals: Requests that arrive at all entries within the propagation delay.
+            propagation_delay: Seconds until entries receive each other's updates.
         """
         if free < 1.0:
             return False
         now = self._clock.monotonic()
-        while self._freed and self._freed[0] < now - news:
-            self._freed.popleft()
-        if self._freed or free >= wanted:
+        while self._releases and self._releases[0] < now - propagation_delay:
+            self._releases.popleft()
+        if self._releases or free >= expected_arrivals:
             return True
-        if now < self._draw_at:
+        if now < self._next_draw_at:
             return False
-        self._draw_at = now + news
-        return self._rng.random() < free / wanted
+        self._next_draw_at = now + propagation_delay
+        return self._rng.random() < free / expected_arrivals
 
-    def taken(self) -> None:
-        """Note that a place was taken, one of this entry's own where there is one."""
-        if self._freed:
-            self._freed.popleft()
+    def record_acquisition(self) -> None:
+        """Record that a slot was acquired; one of this entry's own released slots comes first."""
+        if self._releases:
+            self._releases.popleft()
--- a/carawayhub/limits/latency.py
+++ b/carawayhub/limits/latency.py
@@ -1,7 +1,7 @@
 """How long a request to one target is likely to take."""
 
 GAIN = 0.1
-TRUST_SECONDS = 1.0
+STALE_AFTER_SECONDS = 1.0
 
 
 class LatencyEstimate:
@@ -15,12 +15,12 @@
         self._cost = 0.0
         self._waited_at = 0.0
 
-    def waited(self, seconds: float, now: float) -> None:
+    def record_wait(self, seconds: float, now: float) -> None:
         """Take one wait for a first byte."""
         self._wait = seconds if self._wait <= 0.0 else self._wait + GAIN * (seconds - self._wait)
         self._waited_at = now
 
-    def streamed(self, seconds: float, cost: float) -> None:
+    def record_stream(self, seconds: float, cost: float) -> None:
         """Take the time from first byte to end of a request of ``cost``."""
         if cost <= 0.0:
             return
@@ -42,6 +42,6 @@
         Guards against refusing for ever: where every request is refused because the wait was once
         long, no new wait is seen. Without samples the estimate halves with each second.
         """
-        idle = now - self._waited_at - TRUST_SECONDS
+        idle = now - self._waited_at - STALE_AFTER_SECONDS
         factor = 0.5**idle if idle > 0.0 else 1.0
         return (self._wait + self._per_cost * min(cost, self._cost)) * factor
--- a/carawayhub/limits/overload.py
+++ b/carawayhub/limits/overload.py
@@ -6,8 +6,8 @@
 from carawayhub.limits.allotment import Allotment, Key
 from carawayhub.limits.latency import LatencyEstimate
 
-FREE_BELOW = 0.7
-OVERSHOOT = 1.5
+UNRESTRICTED_FRACTION = 0.7
+OVERSHOOT_FACTOR = 1.5
 
 
 class TargetController:
@@ -36,9 +36,9 @@
         """Requests that may run at once."""
         return self._limit.value
 
-    def arrived(self, key: Key, now: float) -> None:
+    def record_arrival(self, key: Key, now: float) -> None:
         """Count a request, admitted or not, for the division among priorities."""
-        self._allotment.arrived(key, now, self.limit)
+        self._allotment.record_arrival(key, now, self.limit)
 
     def has_room(self, key: Key) -> bool:
         """Return whether a request may run now.
@@ -46,9 +46,9 @@
         With room to spare all may. Near the limit each priority and organisation may have what
         the allotment gives it; those may then pass the limit a little while others drain.
         """
-        if self.running < self.limit * FREE_BELOW:
+        if self.running < self.limit * UNRESTRICTED_FRACTION:
             return True
-        if self.running >= self.limit * OVERSHOOT:
+        if self.running >= self.limit * OVERSHOOT_FACTOR:
             return False
         return self._allotment.has_room(key, self.limit, full=self.running >= self.limit)
 
@@ -56,22 +56,22 @@
         """Return how long a request of ``cost`` is likely to take."""
         return self._latency.expected(cost, now)
 
-    def begun(self, key: Key) -> None:
+    def record_start(self, key: Key) -> None:
         """Count a request that was admitted."""
         self.running += 1
-        self._limit.running(self.running)
-        self._allotment.begun(key)
+        self._limit.record_running(self.running)
+        self._allotment.record_start(key)
 
     def first_byte(self, wait: float, now: float) -> None:
         """Take the seconds that a request waited for the first byte of its answer."""
-        self._latency.waited(wait, now)
-        self._limit.answered(wait, self.running, now, self._load)
+        self._latency.record_wait(wait, now)
+        self._limit.record_first_byte(wait, self.running, now, self._load)
 
-    def failed(self, held: float, now: float) -> None:
+    def record_failure(self, held: float, now: float) -> None:
         """Take a request that ended without a first byte, after some seconds."""
-        self._limit.failed(held, self.running, now, self._load)
+        self._limit.record_failure(held, self.running, now, self._load)
 
-    def ended(self, key: Key, held: float, streamed: float | None, cost: float) -> None:
+    def record_end(self, key: Key, held: float, streamed: float | None, cost: float) -> None:
         """Count the end of a request.
 
         Args:
@@ -81,6 +81,6 @@
             cost: Its expected work.
         """
         self.running -= 1
-        self._allotment.ended(key, held)
+        self._allotment.record_end(key, held)
         if streamed is not None:
-            self._latency.streamed(streamed, cost)
+            self._latency.record_stream(streamed, cost)
--- a/carawayhub/limits/placement.py
+++ b/carawayhub/limits/placement.py
@@ -12,14 +12,14 @@
 
 from carawayhub.routing.prefixes import name_seed, rendezvous_rank
 
-CELL_ENTRIES = 16
-ONE_CELL_ENTRIES = 24
+ENTRIES_PER_CELL = 16
+MAX_SINGLE_CELL_ENTRIES = 24
 RATE_PER_ENTRY = 10.0
-OUTSIDER_PART = 0.1
+OUTSIDE_FRACTION = 0.1
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class Placement:
     """An entry's place in the division of one organisation's limits.
 
     Attributes:
@@ -43,9 +43,9 @@
 
     def __init__(self, entries: Collection[str]) -> None:
         self.entries = frozenset(entries)
-        many = len(self.entries) > ONE_CELL_ENTRIES
-        self.count = math.ceil(len(self.entries) / CELL_ENTRIES) if many else 1
-        self._cell_of = {name: self._find(name) for name in self.entries}
+        many = len(self.entries) > MAX_SINGLE_CELL_ENTRIES
+        self.count = math.ceil(len(self.entries) / ENTRIES_PER_CELL) if many else 1
+        self._cell_of = {name: self._find_cell(name) for name in self.entries}
         self._members: dict[int, frozenset[str]] = {
             cell: frozenset(name for name, own in self._cell_of.items() if own == cell)
             for cell in set(self._cell_of.values())
@@ -60,7 +60,7 @@
         cells = self._cells_for(organisation, rate)
         return frozenset().union(*(self._members[cell] for cell in cells))
 
-    def place(self, entry: str, organisation: str, rate: float) -> Place:
+    def placement(self, entry: str, organisation: str, rate: float) -> Placement:
         """Return an entry's place in the division of an organisation's limits.
 
         An organisation with several cells has its limits divided among them by their sizes. An
@@ -72,19 +72,19 @@
         outside = len(self.entries) - inside
         own = self._cell_of[entry]
         if own not in cells:
-            return Place(frozenset((entry,)), OUTSIDER_PART / outside)
-        part = 1.0 if outside == 0 else 1.0 - OUTSIDER_PART
+            return Placement(frozenset((entry,)), OUTSIDE_FRACTION / outside)
+        part = 1.0 if outside == 0 else 1.0 - OUTSIDE_FRACTION
         members = self._members[own]
-        return Place(members, part * len(members) / inside)
+        return Placement(members, part * len(members) / inside)
 
-    def _find(self, entry: str) -> int:
+    def _find_cell(self, entry: str) -> int:
         """Return an entry's cell; of a larger fleet only what fills a new cell moves."""
         seed = name_seed(entry)
         return max(range(self.count), key=lambda cell: rendezvous_rank(f"cell-{cell}", seed))
 
     def _cells_for(self, organisation: str, rate: float) -> list[int]:
         key = name_seed(organisation)
-        wanted = math.ceil(rate / (RATE_PER_ENTRY * CELL_ENTRIES))
+        wanted = math.ceil(rate / (RATE_PER_ENTRY * ENTRIES_PER_CELL))
         ranked = sorted(
             self._members, key=lambda cell: rendezvous_rank(f"cell-{cell}", key), reverse=True
         )
--- a/carawayhub/limits/poison.py
+++ b/carawayhub/limits/poison.py
@@ -1,18 +1,18 @@
-"""Requests that end the endpoints which run them, found by what they ended.
+"""Detects poison requests, which end the endpoints that run them.
 
-The failure this answers: one request crashes each endpoint that begins it. Its caller takes that
-for a failure of the endpoint and comes again, through any entry and under a new id, and endpoint
-after endpoint ends. An entry so keeps under which request each endpoint ended and tells its peers;
-what three endpoints ended under is refused from then on.
+A poison request crashes each endpoint that starts to run it. Its caller takes that for a failure
+of the endpoint and retries through any entry under a new request id, so one endpoint after another
+ends. Each entry therefore records for each request the endpoints that ended while running it (its
+ends) and announces the records to its peers; a request with three ends is rejected from then on.
 
-Other requests run at the same endpoints and end with them. They are told apart in three ways. A
-whole answer clears a request of all that was held against it. An end counts against a request only
-if none that was there too has as many ends: who stood beside has fewer, and two that were always
-together are both let go until a further end parts them. And where endpoints end so often that
-requests meet three ends by chance, more are needed.
+Other requests that run at the same endpoints end with them. Three rules distinguish them. A
+complete answer clears all ends of a request. An end counts against a request only if no other
+request at that end has as many ends: innocent requests have fewer, and two requests that always
+ran together are both allowed until a further end separates them. If endpoints end so often that
+requests meet three ends by chance, more ends are needed.
 
-Records of several entries are joined by union, so it does not matter in which order, how often and
-by which way they come. Nothing here outlives the process.
+Records of several entries are merged by union, so the order, number of deliveries and path do not
+matter. Nothing here outlives the process.
 """
 
 import math
@@ -26,66 +26,67 @@
 from carawayhub.clock import Clock
 from carawayhub.limits.fingerprint import FINGERPRINT_BYTES
 
-ENDS_OF_POISON = 3
-"""Endpoints that end under a request before it is refused. Two may be chance: one fails of itself,
-and so does the next at which the request was tried again."""
+POISON_THRESHOLD = 3
+"""Ends after which a request is rejected. Two may be chance: an endpoint fails for its own reasons,
+and so does the next one, at which the request was retried."""
 
-MOST_ENDS_NEEDED = 6
-"""The same where endpoints end all the time, at the most: what is refused only after more would end
-more endpoints than it saves requests from being refused wrongly."""
+MAX_POISON_THRESHOLD = 6
+"""Upper bound of the threshold while endpoints end constantly: a higher one would end more
+endpoints than it prevents wrong rejections."""
 
-CHANCE = 0.001
-"""Chance at which a request that ends nothing may meet all the ends that are held against it."""
+FALSE_POSITIVE_PROBABILITY = 0.001
+"""Accepted probability that a harmless request meets as many ends as the threshold by chance."""
 
-USUAL_ANSWERS = 30.0
-"""Answers that an entry reckons with beside those it saw: of two or three nothing follows."""
+PRIOR_ANSWERS = 30.0
+"""Answers added to those that an entry observed, since two or three observations prove nothing."""
 
-RATE_HALF_LIFE = 20.0
-"""Seconds after which a request counts half in the share of those whose endpoint ended: long enough
-for some dozens at an entry of a large fleet, short against troubles that last a minute."""
+RATE_HALF_LIFE_SECONDS = 20.0
+"""Half-life of a request's weight in the share of requests whose endpoint ended: long enough to
+cover some dozens of requests at an entry of a large fleet, short compared with incidents of a
+minute."""
 
-MOST_RECORDS = 256
-"""Requests that are remembered at the most, 0.3 MB: what twenty ends leave with a dozen requests
-each. Of what is too much, the requests with the fewest ends go first, and of these the oldest."""
+MAX_RECORDS = 256
+"""Maximum number of recorded requests, 0.3 MB: enough for twenty ends with a dozen requests each.
+Beyond it, the requests with the fewest ends are evicted first, the oldest of them before others."""
 
-SAME_END_SECONDS = 1.0
-"""Seconds within which one endpoint ends once: entries see and tell it within tenths of a second,
-and a process takes longer than this to start again and take requests."""
+END_DEDUPLICATION_SECONDS = 1.0
+"""Time within which reports about an endpoint count as one end: entries detect and announce it
+within tenths of a second, and a process takes longer than this to restart and accept requests."""
 
-NEWS_SECONDS = 2.0
-"""Age up to which a record that a peer tells says something of endpoints now: later on they are
-back or known to be gone."""
+RECENT_RECORD_SECONDS = 2.0
+"""Age up to which a peer's record says something about the present state of endpoints: later they
+are available again or known to be gone."""
 
-LIFETIMES = 2**32
-"""Bound of the keys of endpoints' lifetimes."""
+LIFETIME_KEY_BOUND = 2**32
+"""Exclusive upper bound of the keys that identify endpoints' lifetimes."""
 
-MOST_ENDS = 8
-"""Ends that are remembered of one request; more change nothing."""
+MAX_ENDS = 8
+"""Maximum number of ends recorded per request; more would change no decision."""
 
 SUSPECT_SECONDS = 600.0
-"""Seconds after its latest end for which a request that is not refused is remembered. Callers that
-repeat by themselves do so within seconds, people within minutes."""
+"""Time since its latest end for which a request below the threshold is remembered. Automatic
+retries follow within seconds, manual ones within minutes."""
 
 POISON_SECONDS = 3600.0
-"""Seconds since it was last sent after which a refused request is forgotten. By then its cause may
-have been mended; where it was not, three endpoints tell so again."""
+"""Time since it was last sent after which a rejected request is forgotten. By then its cause may
+have been fixed; if it was not, three more ends identify it again."""
 
-RENEW_PART = 0.25
-"""Part of that time after which a refused request that comes again is remembered anew, and peers
-are told so: few messages, however often it comes."""
+RENEWAL_FRACTION = 0.25
+"""Fraction of ``POISON_SECONDS`` after which a repeated request renews its record, which is then
+announced to peers: this limits the number of messages, however often the request is repeated."""
 
 
 _NONE: frozenset[int] = frozenset()
 
 
 class EndsRow(msgspec.Struct, array_like=True, frozen=True):
-    """A record as it is told to peers.
+    """A record as it is announced to peers.
 
     Attributes:
-        fingerprint: Names the request.
-        series: Whole answers that cleared it.
-        ends: Keys of the endpoints that ended under it since.
-        age: Seconds since the record last changed, when the row was written.
+        fingerprint: Identifies the request.
+        series: Number of complete answers that cleared it.
+        ends: Keys of the endpoints that ended while running it since then.
+        age: Seconds between the record's last change and the writing of the row.
     """
 
     fingerprint: bytes
@@ -96,11 +97,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """Records that changed after some moment.
+    """Records that changed after a given change.
 
     Attributes:
         rows: The records.
-        number: The number of the last change that they hold.
+        number: Number of the last change included.
     """
 
     rows: list[EndsRow]
@@ -116,7 +117,7 @@
 
 
 class EndRate:
-    """The share of this entry's recent requests whose endpoint ended under them.
+    """The share of this entry's recent requests whose endpoint ended while running them.
 
     Args:
         clock: Source of time.
@@ -129,48 +130,48 @@
         self._answered = self._ended = 0.0
         self._at = clock.monotonic()
 
-    def answered(self) -> None:
-        """Count a whole answer."""
-        self._fade()
+    def record_answer(self) -> None:
+        """Count a complete answer."""
+        self._decay()
         self._answered += 1.0
 
-    def ended(self) -> None:
+    def record_end(self) -> None:
         """Count a request whose endpoint ended."""
-        self._fade()
+        self._decay()
         self._ended += 1.0
 
     def ends_needed(self) -> int:
-        """Return how many ends show that a request is their cause.
+        """Return the number of ends after which a request is considered their cause.
 
-        The load pattern this answers: replicas that end every second for reasons of their own, and
-        callers who come again until they are served. At three ends, 3 of 400 such requests were
-        refused for good.
+        The threshold rises if replicas end every second for other reasons and callers retry until
+        they are served: with a fixed threshold of three ends, 3 of 400 such requests were rejected
+        permanently.
         """
-        self._fade()
-        share = self._ended / (self._answered + self._ended + USUAL_ANSWERS)
+        self._decay()
+        share = self._ended / (self._answered + self._ended + PRIOR_ANSWERS)
         if share <= 0.0:
-            return ENDS_OF_POISON
-        needed = math.ceil(math.log(CHANCE) / math.log(share))
-        return min(MOST_ENDS_NEEDED, max(ENDS_OF_POISON, needed))
+            return POISON_THRESHOLD
+        needed = math.ceil(math.log(FALSE_POSITIVE_PROBABILITY) / math.log(share))
+        return min(MAX_POISON_THRESHOLD, max(POISON_THRESHOLD, needed))
 
-    def _fade(self) -> None:
+    def _decay(self) -> None:
         now = self._clock.monotonic()
-        kept = 0.5 ** ((now - self._at) / RATE_HALF_LIFE)
+        kept = 0.5 ** ((now - self._at) / RATE_HALF_LIFE_SECONDS)
         self._answered *= kept
         self._ended *= kept
         self._at = now
 
 
 class PoisonRecords:
-    """Under which requests endpoints ended, as far as this process knows.
+    """The requests during which endpoints ended, as far as this process knows.
 
     Args:
         clock: Source of time.
 
     Attributes:
-        number: Number of the latest change; peers are told what follows the last one they know.
-        on_poison: Called with the fingerprint of a request that is refused from now on.
-        on_ends: Called with the keys of endpoints that peers have just told to have ended.
+        number: Number of the latest change; peers receive the changes after the last one they have.
+        on_poison: Called with the fingerprint of a request that is rejected from now on.
+        on_ends: Called with the keys of endpoints that peers have just reported as ended.
     """
 
     __slots__ = ("_by_fingerprint", "_clock", "_poison", "_rate", "number", "on_ends", "on_poison")
@@ -189,62 +190,63 @@
 
     @property
     def poison(self) -> frozenset[bytes]:
-        """Fingerprints of the requests that are refused."""
+        """Fingerprints of the requests that are rejected."""
         return self._poison
 
     def is_poison(self, fingerprint: bytes) -> bool:
-        """Return whether a request is to be refused."""
+        """Return whether a request must be rejected."""
         return fingerprint in self._poison
 
     def ends(self, fingerprint: bytes) -> int:
-        """Return how many endpoints ended under a request since its last whole answer."""
+        """Return how many endpoints ended under a request since its last complete answer."""
         record = self._by_fingerprint.get(fingerprint)
         return len(record.ends) if record is not None else 0
 
-    def ended(self, fingerprint: bytes, endpoint: int) -> None:
-        """Note that an endpoint ended while it had a request.
+    def record_end(self, fingerprint: bytes, endpoint: int) -> None:
+        """Record that an endpoint ended while running a request.
 
         Args:
-            fingerprint: Names the request.
+            fingerprint: Identifies the request.
             endpoint: Key of this lifetime of the endpoint.
         """
         known = self._by_fingerprint.get(fingerprint)
         series, ends = (known.series, known.ends) if known is not None else (0, frozenset())
         if not ends:
-            # Further ends of one request would make it look as if all met them.
-            self._rate.ended()
+            # Counting further ends of the same request would overestimate the share of requests
+            # that meet an end.
+            self._rate.record_end()
         now = self._clock.monotonic()
-        if known is not None and now - known.changed_at > SAME_END_SECONDS:
-            # An endpoint that has started again under one id, and does not say when it did.
+        if known is not None and now - known.changed_at > END_DEDUPLICATION_SECONDS:
+            # The endpoint restarted under the same id and does not report its start time.
             while endpoint in ends:
-                endpoint = (endpoint + 1) % LIFETIMES
-        if endpoint in ends or len(ends) >= MOST_ENDS:
+                endpoint = (endpoint + 1) % LIFETIME_KEY_BOUND
+        if endpoint in ends or len(ends) >= MAX_ENDS:
             return
-        self._put(fingerprint, series, ends | {endpoint}, now)
-        self._judge()
+        self._store(fingerprint, series, ends | {endpoint}, now)
+        self._update_poison()
 
-    def answered(self, fingerprint: bytes) -> None:
-        """Note a whole answer to a request: what survives running it is not ended by it."""
-        self._rate.answered()
+    def record_answer(self, fingerprint: bytes) -> None:
+        """Record a complete answer, which shows that the request does not end its endpoint."""
+        self._rate.record_answer()
         known = self._by_fingerprint.get(fingerprint)
         if known is None or not known.ends:
             return
-        self._put(fingerprint, known.series + 1, frozenset(), self._clock.monotonic())
-        self._judge()
+        self._store(fingerprint, known.series + 1, frozenset(), self._clock.monotonic())
+        self._update_poison()
 
-    def came_again(self, fingerprint: bytes) -> None:
-        """Note that a refused request was sent again, so that it is remembered on."""
+    def record_repeat(self, fingerprint: bytes) -> None:
+        """Record that a rejected request was sent again, which prolongs its record."""
         known = self._by_fingerprint[fingerprint]
         now = self._clock.monotonic()
-        if now - known.changed_at > RENEW_PART * POISON_SECONDS:
-            self._put(fingerprint, known.series, known.ends, now)
+        if now - known.changed_at > RENEWAL_FRACTION * POISON_SECONDS:
+            self._store(fingerprint, known.series, known.ends, now)
 
     def after(self, number: int, most: int) -> Changes:
-        """Return records that changed after a change, the earliest ones first.
+        """Return the records that changed after a given change, earliest first.
 
         Args:
-            number: The change.
-            most: Rows wanted at the most.
+            number: Number of the change.
+            most: Maximum number of rows.
         """
         if number >= self.number:
             return Changes([], self.number)
@@ -254,63 +256,65 @@
         rows = [_row(name, record, now) for name, record in newer[:most]]
         return Changes(rows, newer[most - 1][1].number if len(newer) > most else self.number)
 
-    def take(self, rows: Iterable[EndsRow]) -> None:
-        """Take in records of a peer; they may come late, twice and in any order."""
+    def merge(self, rows: Iterable[EndsRow]) -> None:
+        """Merge a peer's records, which may arrive late, repeatedly and in any order."""
         before = self.number
         now = self._clock.monotonic()
         for row in rows:
-            if _is_sound(row):
-                self._merge(row, now)
+            if _is_valid(row):
+                self._merge_row(row, now)
         if self.number != before:
-            self._judge()
+            self._update_poison()
 
-    def forget_old(self) -> None:
-        """Drop records that no longer matter."""
+    def expire(self) -> None:
+        """Drop expired records."""
         now = self._clock.monotonic()
         old = [
             name
             for name, each in self._by_fingerprint.items()
-            if now - each.changed_at > _kept_seconds(len(each.ends))
+            if now - each.changed_at > _retention_seconds(len(each.ends))
         ]
         for name in old:
             del self._by_fingerprint[name]
-        self._judge()
+        self._update_poison()
 
-    def _merge(self, row: EndsRow, now: float) -> None:
+    def _merge_row(self, row: EndsRow, now: float) -> None:
         changed_at = now - row.age
-        if row.age > _kept_seconds(len(row.ends)):
+        if row.age > _retention_seconds(len(row.ends)):
             return
         ends = frozenset(row.ends)
         known = self._by_fingerprint.get(row.fingerprint)
-        if row.age < NEWS_SECONDS and (new := ends - (known.ends if known is not None else _NONE)):
+        if row.age < RECENT_RECORD_SECONDS and (
+            new := ends - (known.ends if known is not None else _NONE)
+        ):
             self.on_ends(new)
         if known is None:
-            self._put(row.fingerprint, row.series, ends, changed_at)
+            self._store(row.fingerprint, row.series, ends, changed_at)
             return
         if row.series < known.series:
             return
         if row.series == known.series:
-            ends = frozenset(sorted(ends | known.ends)[:MOST_ENDS])
-        is_later = changed_at - known.changed_at > RENEW_PART * POISON_SECONDS / 2
+            ends = frozenset(sorted(ends | known.ends)[:MAX_ENDS])
+        is_later = changed_at - known.changed_at > RENEWAL_FRACTION * POISON_SECONDS / 2
         if (row.series, ends) == (known.series, known.ends) and not is_later:
             return
-        self._put(row.fingerprint, row.series, ends, max(changed_at, known.changed_at))
+        self._store(row.fingerprint, row.series, ends, max(changed_at, known.changed_at))
 
-    def _put(self, name: bytes, series: int, ends: frozenset[int], changed_at: float) -> None:
+    def _store(self, name: bytes, series: int, ends: frozenset[int], changed_at: float) -> None:
         self.number += 1
         self._by_fingerprint[name] = _Record(series, ends, changed_at, self.number)
-        if len(self._by_fingerprint) > MOST_RECORDS:
-            least = min(self._by_fingerprint.items(), key=lambda each: _rank(each[1]))
+        if len(self._by_fingerprint) > MAX_RECORDS:
+            least = min(self._by_fingerprint.items(), key=lambda each: _retention_key(each[1]))
             del self._by_fingerprint[least[0]]
 
-    def _judge(self) -> None:
-        """Find anew which requests are refused."""
+    def _update_poison(self) -> None:
+        """Recompute which requests are rejected."""
         needed = self._rate.ends_needed()
-        counting = self._counting_ends()
+        attributable = self._attributable_ends()
         found = frozenset(
             name
-            for name, count in counting.items()
-            if count >= (ENDS_OF_POISON if name in self._poison else needed)
+            for name, count in attributable.items()
+            if count >= (POISON_THRESHOLD if name in self._poison else needed)
         )
         new, self._poison = found - self._poison, found
         for name in new:
@@ -319,42 +323,42 @@
                 ends=len(self._by_fingerprint[name].ends),
                 ends_needed=needed,
                 requests_known=len(self._by_fingerprint),
-            ).warning("endpoints end under a request, it is refused from now on")
+            ).warning("request ends the endpoints that run it; rejecting it from now on")
             self.on_poison(name)
 
-    def _counting_ends(self) -> dict[bytes, int]:
+    def _attributable_ends(self) -> dict[bytes, int]:
         """Return how many ends count against each request that has enough of them.
 
-        Guards against refusing one that stood beside: an end is not held against it where another
-        that was there has as many ends.
+        Prevents the rejection of a request that merely ran at the same endpoints: an end does not
+        count against it if another request at that end has as many ends.
         """
         suspects = {
             name: each.ends
             for name, each in self._by_fingerprint.items()
-            if len(each.ends) >= ENDS_OF_POISON
+            if len(each.ends) >= POISON_THRESHOLD
         }
-        # Others have fewer ends than any of these, so they take nothing off.
-        beside = Counter((end, len(ends)) for ends in suspects.values() for end in ends)
-        return {name: _alone(ends, beside) for name, ends in suspects.items()}
+        # All other requests have fewer ends than these and so do not affect the result.
+        requests_at_end = Counter((end, len(ends)) for ends in suspects.values() for end in ends)
+        return {name: _unshared_ends(ends, requests_at_end) for name, ends in suspects.items()}
 
 
-def _alone(ends: frozenset[int], beside: Counter[tuple[int, int]]) -> int:
-    """Return at how many ends no other request was that has as many of them.
+def _unshared_ends(ends: frozenset[int], requests_at_end: Counter[tuple[int, int]]) -> int:
+    """Return the number of ends that no other request with at least as many ends shares.
 
     Args:
         ends: The ends of a request.
-        beside: Requests by an end at which they were and the number of their ends.
+        requests_at_end: Number of requests by end and by how many ends these requests have.
     """
-    counts = range(len(ends), MOST_ENDS + 1)
-    return sum(1 for end in ends if sum(beside[end, count] for count in counts) == 1)
+    counts = range(len(ends), MAX_ENDS + 1)
+    return sum(1 for end in ends if sum(requests_at_end[end, count] for count in counts) == 1)
 
 
-def _kept_seconds(ends: int) -> float:
-    return POISON_SECONDS if ends >= ENDS_OF_POISON else SUSPECT_SECONDS
+def _retention_seconds(ends: int) -> float:
+    return POISON_SECONDS if ends >= POISON_THRESHOLD else SUSPECT_SECONDS
 
 
-def _rank(record: _Record) -> tuple[int, float]:
-    """Return how much a record matters; the least goes first."""
+def _retention_key(record: _Record) -> tuple[int, float]:
+    """Return the sort key for eviction; the lowest is evicted first."""
     return len(record.ends), record.changed_at
 
 
@@ -362,11 +366,11 @@
     return EndsRow(name, record.series, sorted(record.ends), max(0.0, now - record.changed_at))
 
 
-def _is_sound(row: EndsRow) -> bool:
+def _is_valid(row: EndsRow) -> bool:
     return (
         len(row.fingerprint) == FINGERPRINT_BYTES
         and row.series >= 0
-        and len(row.ends) <= MOST_ENDS
+        and len(row.ends) <= MAX_ENDS
         and math.isfinite(row.age)
         and row.age >= 0.0
     )
--- a/carawayhub/limits/poisonnews.py
+++ b/carawayhub/limits/poisonnews.py
@@ -1,8 +1,8 @@
-"""Tells peers which requests endpoints ended under, until each has said that it heard.
+"""Announces poison records to peers until each has acknowledged them.
 
-The load pattern this answers: seldom a change, which all must know before the same request comes to
-them, with datagrams lost, entries that start and entries that were cut off. So a datagram to a peer
-carries what follows the last change that it is known to have, and nothing once it has all.
+Changes are rare, but every peer must receive them before the same request reaches it, although
+datagrams are lost and entries start or were cut off. Each datagram to a peer therefore carries the
+changes after the last one that the peer has acknowledged, and none once it has all.
 """
 
 from collections import deque
@@ -11,32 +11,32 @@
 
 from carawayhub.limits.poison import EndsRow, PoisonRecords
 
-MOST_ROWS = 32
-"""Records that one datagram tells, 2 KB: all that one end usually brings. More follow in the next
-ones."""
+MAX_ROWS = 32
+"""Records in one datagram, 2 KB: usually all that one end produces. The rest follow in later
+datagrams."""
 
-MOST_UNCONFIRMED = 64
-"""Datagrams with records that may lack an answer, those of several seconds; answers to older ones
-confirm nothing, and their records are told again."""
+MAX_UNCONFIRMED = 64
+"""Unacknowledged datagrams remembered per peer, covering several seconds; acknowledgements of older
+ones are ignored, and their records are sent again."""
 
 
 @dataclass(slots=True)
 class _Cursor:
-    """How far a run of a peer has been told.
+    """Which changes a run of a peer has acknowledged.
 
     Attributes:
         run: The run.
         known: Number of the last change that it has.
-        sent: Datagrams with records: their number, and that of the last change that they told.
+        sent: Datagrams with records, each with its number and that of the last change it carried.
     """
 
     run: str
     known: int = 0
-    sent: deque[tuple[int, int]] = field(default_factory=lambda: deque(maxlen=MOST_UNCONFIRMED))
+    sent: deque[tuple[int, int]] = field(default_factory=lambda: deque(maxlen=MAX_UNCONFIRMED))
 
 
-class PoisonNews:
-    """What peers have been told of the records.
+class PoisonUpdates:
+    """Tracks which records each peer has received.
 
     Args:
         records: The records.
@@ -49,31 +49,31 @@
         self._cursors: dict[str, _Cursor] = {}
 
     def rows_for(self, ip: str, run: str, number: int) -> list[EndsRow]:
-        """Return the records that a datagram to a peer is to carry.
+        """Return the records to include in a datagram to a peer.
 
         Args:
             ip: The peer.
-            run: Its run; one that starts anew knows nothing.
+            run: Its run; a new run has no records.
             number: Number of the datagram.
         """
         cursor = self._cursor(ip, run)
         if cursor.known >= self.records.number:
             return []
-        changes = self.records.after(cursor.known, MOST_ROWS)
+        changes = self.records.after(cursor.known, MAX_ROWS)
         cursor.sent.append((number, changes.number))
         return changes.rows
 
-    def heard(self, ip: str, run: str, number: int) -> None:
-        """Note that a peer has heard a datagram, and with it all changes up to those it told."""
+    def acknowledge(self, ip: str, run: str, number: int) -> None:
+        """Record that a peer has received a datagram and all changes up to those it carried."""
         cursor = self._cursor(ip, run)
-        for sent, told in cursor.sent:
+        for sent, last_change in cursor.sent:
             if sent == number:
-                cursor.known = max(cursor.known, told)
+                cursor.known = max(cursor.known, last_change)
         while cursor.sent and cursor.sent[0][0] <= number:
             cursor.sent.popleft()
 
-    def keep(self, ips: Set[str]) -> None:
-        """Drop what peers were told that are gone."""
+    def retain(self, ips: Set[str]) -> None:
+        """Drop the state of peers that are gone."""
         for ip in [each for each in self._cursors if each not in ips]:
             del self._cursors[ip]
 
--- a/carawayhub/limits/replicarate.py
+++ b/carawayhub/limits/replicarate.py
@@ -1,13 +1,13 @@
-"""How many requests a replica that names a rate limit gets, from all entries together.
-
-The load pattern this answers: a replica in need says in its answers how many requests a second it
-takes from the whole fleet, while each entry sees its own answers and its own requests only. With
-nobody who counts for all, each entry tells the others what it read last and how many requests it
-has sent of late, and takes from what is left of the limit. What is left is known late, so entries
-that want the same request draw for it (``Claims``); what they send too much is told with the next
-news and taken off what follows. Parts by demand follow from that by themselves. Fixed parts, one
-for each entry, would leave most of a small limit unused: of three a second, each of 98 entries had
-one request in 33 s, and most requests arrive elsewhere.
+"""Fleet-wide rate limiting of replicas that announce a limit in their answers.
+
+A replica that is short of resources announces how many requests per second it accepts from the
+whole fleet, but each entry sees only its own answers and requests. There is no central counter:
+each entry announces the limit it read last and the number of requests it sent recently, and uses
+what remains of the limit. Entries learn what remains only after a propagation delay, so entries
+that compete for the same request draw for it (``Claims``); requests sent in excess are announced
+in the next update and deducted from the following ones. The limit is thereby shared by demand.
+Fixed shares per entry would leave most of a small limit unused: of three requests per second, each
+of 98 entries would get one request in 33 s, and most requests arrive at other entries.
 """
 
 import random
@@ -21,39 +21,39 @@
 from carawayhub.clock import Clock
 from carawayhub.limits.claims import Claims
 
-WINDOW = 2.0
-"""Seconds in which the requests to a limited replica are counted: long enough that what was sent
-too much is known and made up for, short enough that a replica in need gets no bursts."""
+WINDOW_SECONDS = 2.0
+"""Window over which requests to a limited replica are counted: long enough for excess requests to
+be announced and deducted, short enough to avoid bursts at a replica that is short of resources."""
 
-ASK_RATE = 0.1
-"""Requests a second to a replica that takes fewer. One that gets none never answers, and so could
-never say that it takes requests again."""
+MIN_PROBE_RATE = 0.1
+"""Requests per second sent to a replica whose limit is lower. A replica without requests sends no
+answers, so it could never announce a higher limit."""
 
-TAKEN_BACK_SECONDS = 10.0
-"""Seconds for which entries tell that a replica names no limit any more."""
+WITHDRAWN_LIMIT_SECONDS = 10.0
+"""Time for which entries announce that a replica has withdrawn its limit."""
 
-ROUNDED = 0.5
-"""Part of a request that is left of a limit from which on one more goes out: whole requests are
-rounded, so that as much as is named is used."""
+ROUNDING_ALLOWANCE = 0.5
+"""Remaining fraction of a request from which one more is sent: rounding to whole requests lets the
+announced limit be used in full."""
 
-SENDS_SECONDS = 4.0
-"""Seconds for which the sends to a replica are remembered that names no limit, so that they count
-from the moment at which it does."""
+SEND_HISTORY_SECONDS = 4.0
+"""Time for which sends to a replica without a limit are remembered, so that they are counted as
+soon as it announces one."""
 
-MOST_ROWS = 64
-"""Replicas that one datagram tells of, those of which was read last: two kilobytes."""
+MAX_ROWS = 64
+"""Replicas in one datagram, those with the latest known limits first: two kilobytes."""
 
 NO_LIMIT = -1.0
 
 
 class RateRow(msgspec.Struct, array_like=True, frozen=True):
-    """What an entry tells of one replica.
+    """What an entry announces about one replica.
 
     Attributes:
-        key: Stands for one lifetime of the replica.
-        per_second: Requests a second that it takes, ``NO_LIMIT`` where it names none any more.
-        age: Seconds since that was read, when the datagram was written.
-        sends: Requests sent to it in the window, by those whom the datagram tells of.
+        key: Identifies one lifetime of the replica.
+        per_second: Its limit in requests per second, ``NO_LIMIT`` if it has withdrawn the limit.
+        age: Seconds between reading the limit and writing the datagram.
+        sends: Requests sent to it within the window by the entries that the datagram covers.
     """
 
     key: int
@@ -63,12 +63,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
-    """The last that is known of a replica's limit.
+class KnownLimit:
+    """The latest known limit of a replica.
 
     Attributes:
-        per_second: Requests a second that it takes from all entries, None where it names none.
-        at: When it said so.
+        per_second: Requests per second that it accepts from all entries, None for no limit.
+        at: When the replica announced it.
     """
 
     per_second: float | None
@@ -76,12 +76,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Told:
-    """Requests that others have sent.
+class _PeerSends:
+    """Requests that a peer has announced as sent.
 
     Attributes:
-        sends: How many.
-        at: When that was so.
+        sends: Number of requests.
+        at: Time of the count.
     """
 
     sends: int
@@ -89,249 +89,262 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
-    """What an entry knows of the others when it decides.
+class FleetEstimate:
+    """What an entry knows about the other entries when it decides.
 
     Attributes:
-        wanted: Requests that come to all entries before they hear of each other.
-        news: Seconds until they do.
-        part: Part of all entries that this one hears of, itself among them.
+        expected_arrivals: Requests that arrive at all entries within the propagation delay.
+        propagation_delay: Seconds until entries receive each other's updates.
+        part: Fraction of all entries whose updates this one receives, itself included.
     """
 
-    wanted: float
-    news: float
+    expected_arrivals: float
+    propagation_delay: float
     part: float
 
 
 class ReplicaRates:
-    """The rate limits of replicas and the requests that were sent to them.
+    """Tracks the rate limits of replicas and the requests that were sent to them.
 
     Args:
-        clock: Source of time; it must count suspensions.
-        rng: Draws who sends what several want to send.
-        key_of: Gives the number that stands for an endpoint among entries.
+        clock: Source of time; it must include time spent suspended.
+        rng: Source of the random draws between competing entries.
+        key_of: Returns the number that identifies an endpoint among entries.
     """
 
     __slots__ = (
         "_claims",
         "_clock",
         "_key_of",
-        "_readings",
+        "_known_limits",
         "_rng",
         "_sends",
-        "_since",
-        "_told",
-        "_unreadable",
+        "_limited_since",
+        "_peer_sends",
+        "_unreadable_keys",
     )
 
     def __init__(self, clock: Clock, rng: random.Random, key_of: Callable[[str], int]) -> None:
         self._clock = clock
         self._rng = rng
         self._key_of = key_of
-        self._readings: dict[int, Reading] = {}
-        self._since: dict[int, float] = {}
+        self._known_limits: dict[int, KnownLimit] = {}
+        self._limited_since: dict[int, float] = {}
         self._sends: dict[int, deque[float]] = {}
-        self._told: dict[str, dict[int, _Told]] = {}
+        self._peer_sends: dict[str, dict[int, _PeerSends]] = {}
         self._claims: dict[int, Claims] = {}
-        self._unreadable: set[int] = set()
+        self._unreadable_keys: set[int] = set()
 
-    # What is learned.
+    # Input.
 
-    def read(self, endpoint_id: str, per_second: float | None, sent_at: float) -> None:
-        """Take what an answer says.
+    def record_limit(self, endpoint_id: str, per_second: float | None, sent_at: float) -> None:
+        """Record the limit announced in an answer.
 
-        An answer that names no limit may have been written before the replica was in need: it
-        counts from when its request was sent, one that names a limit from now.
+        An answer without a limit may have been written before the replica ran short of resources:
+        it is dated by when its request was sent, one with a limit by the current time.
 
         Args:
             endpoint_id: The endpoint.
-            per_second: The limit that the answer names, None for none.
-            sent_at: When its request was sent.
+            per_second: The limit in the answer, None for no limit.
+            sent_at: When the request was sent.
         """
         key = self._key_of(endpoint_id)
-        if per_second is None and key not in self._readings:
+        if per_second is None and key not in self._known_limits:
             return
         at = sent_at if per_second is None else self._clock.monotonic()
-        self._learn(key, Reading(per_second, at), endpoint_id)
+        self._update_limit(key, KnownLimit(per_second, at), endpoint_id)
 
-    def heard(self, teller: str, rows: Iterable[RateRow], written_at: float) -> None:
-        """Take what another entry tells, in place of what it told before.
+    def receive_rows(self, peer: str, rows: Iterable[RateRow], written_at: float) -> None:
+        """Apply the rows of another entry, which replace its earlier ones.
 
         Args:
-            teller: Who tells.
-            rows: What it tells.
-            written_at: A moment that is not after the writing of its datagram.
+            peer: The entry that announced them.
+            rows: The rows.
+            written_at: A time no later than when the datagram was written.
         """
-        told = self._told.setdefault(teller, {})
+        peer_sends = self._peer_sends.setdefault(peer, {})
         for row in rows:
             per_second = None if row.per_second < 0 else row.per_second
-            if per_second is not None or row.key in self._readings:
-                self._learn(row.key, Reading(per_second, written_at - row.age), teller)
-            known = told.get(row.key)
+            if per_second is not None or row.key in self._known_limits:
+                self._update_limit(row.key, KnownLimit(per_second, written_at - row.age), peer)
+            known = peer_sends.get(row.key)
             if known is None or known.at <= written_at:
-                told[row.key] = _Told(row.sends, written_at)
+                peer_sends[row.key] = _PeerSends(row.sends, written_at)
 
-    def unreadable(self, endpoint_id: str, text: str) -> None:
-        """Note an answer whose limit cannot be read, which changes nothing; logged once each."""
+    def record_unreadable(self, endpoint_id: str, text: str) -> None:
+        """Log an answer with an unreadable limit once per endpoint; no limit changes."""
         key = self._key_of(endpoint_id)
-        if key in self._unreadable:
+        if key in self._unreadable_keys:
             return
-        self._unreadable.add(key)
-        logger.bind(endpoint=endpoint_id, text=text).warning("limit of a replica cannot be read")
+        self._unreadable_keys.add(key)
+        logger.bind(endpoint=endpoint_id, text=text).warning(
+            "cannot parse the rate limit in a replica's answer"
+        )
 
-    def _learn(self, key: int, reading: Reading, source: str) -> None:
-        before = self._readings.get(key)
-        if before is not None and before.at >= reading.at:
+    def _update_limit(self, key: int, known_limit: KnownLimit, source: str) -> None:
+        before = self._known_limits.get(key)
+        if before is not None and before.at >= known_limit.at:
             return
-        self._readings[key] = reading
-        if before is not None and before.per_second == reading.per_second:
+        self._known_limits[key] = known_limit
+        if before is not None and before.per_second == known_limit.per_second:
             return
         now = self._clock.monotonic()
-        self._since[key] = now
+        self._limited_since[key] = now
         logger.bind(
             endpoint_key=key,
             source=source,
-            per_second=reading.per_second,
+            per_second=known_limit.per_second,
             before=None if before is None else before.per_second,
-            age=round(now - reading.at, 3),
-            sent=self._sent_lately(key, WINDOW),
-        ).info("limit of a replica is known" if reading.per_second is not None else "limit ended")
+            age=round(now - known_limit.at, 3),
+            sent=self._recent_sends(key, WINDOW_SECONDS),
+        ).info(
+            "replica rate limit updated"
+            if known_limit.per_second is not None
+            else "replica rate limit withdrawn"
+        )
 
-    # What is decided.
+    # Decisions.
 
     @property
     def any_limited(self) -> bool:
-        """Whether some replica may name a limit: where none does, nothing else need be asked."""
-        return bool(self._readings)
+        """Whether any replica may have a limit; if none has, callers can skip all other checks."""
+        return bool(self._known_limits)
 
     def limit(self, endpoint_id: str) -> float | None:
-        """Return the requests a second that an endpoint takes, None where it names no limit."""
-        reading = self._readings.get(self._key_of(endpoint_id))
-        return None if reading is None else reading.per_second
+        """Return the limit of an endpoint in requests per second, None for no limit."""
+        known_limit = self._known_limits.get(self._key_of(endpoint_id))
+        return None if known_limit is None else known_limit.per_second
 
     def limits(self) -> dict[int, float]:
-        """Return the limits in force, by the keys of their replicas."""
-        found = self._readings.items()
+        """Return the current limits by the keys of their replicas."""
+        found = self._known_limits.items()
         return {key: each.per_second for key, each in found if each.per_second is not None}
 
-    def may_send(self, endpoint_id: str, around: Surroundings) -> bool:
-        """Return whether a request may go to an endpoint now; ask once for each request."""
+    def may_send(self, endpoint_id: str, estimate: FleetEstimate) -> bool:
+        """Return whether a request may be sent to an endpoint now; call once per request."""
         key = self._key_of(endpoint_id)
-        reading = self._readings.get(key)
-        if reading is None or reading.per_second is None:
+        known_limit = self._known_limits.get(key)
+        if known_limit is None or known_limit.per_second is None:
             return True
-        rate = max(reading.per_second, ASK_RATE)
-        window = _window(reading.per_second)
-        allowed = rate * window * around.part
+        rate = max(known_limit.per_second, MIN_PROBE_RATE)
+        window = _window(known_limit.per_second)
+        allowed = rate * window * estimate.part
         if allowed < 1.0:
-            return self._is_due(key, rate * around.part)
-        sends = self._sent_lately(key, window) + self._told_lately(key, window)
-        free = allowed + ROUNDED - sends
+            return self._is_due(key, rate * estimate.part)
+        sends = self._recent_sends(key, window) + self._recent_peer_sends(key, window)
+        free = allowed + ROUNDING_ALLOWANCE - sends
         claims = self._claims.setdefault(key, Claims(self._clock, self._rng))
-        return claims.may_take(free, around.wanted, around.news)
+        return claims.may_acquire(free, estimate.expected_arrivals, estimate.propagation_delay)
 
-    def wait(self, endpoint_ids: Iterable[str]) -> float:
-        """Return the mean seconds between two requests that endpoints take from all entries.
+    def mean_interval(self, endpoint_ids: Iterable[str]) -> float:
+        """Return the mean seconds between requests that endpoints accept from all entries.
 
-        0 where one of them names no limit.
+        0 if one of them has no limit.
         """
         total = 0.0
         for each in endpoint_ids:
             limit = self.limit(each)
             if limit is None:
                 return 0.0
-            total += max(limit, ASK_RATE)
+            total += max(limit, MIN_PROBE_RATE)
         return 1.0 / total if total else 0.0
 
-    def sent(self, endpoint_id: str) -> None:
-        """Count a request that goes to an endpoint."""
+    def record_send(self, endpoint_id: str) -> None:
+        """Count a request that is sent to an endpoint."""
         key, now = self._key_of(endpoint_id), self._clock.monotonic()
         times = self._sends.setdefault(key, deque())
         times.append(now)
-        oldest = now - max(SENDS_SECONDS, self._window_of(key))
+        oldest = now - max(SEND_HISTORY_SECONDS, self._window_of(key))
         while times[0] < oldest:
             times.popleft()
 
     def _is_due(self, key: int, rate: float) -> bool:
-        """Return whether an entry's own part of a limit has come to one request.
+        """Return whether this entry's own share of a limit has accrued to one request.
 
-        So where it hears of few entries, or the others' sends are unknown: it takes a part as if
-        each entry did, and none at once when it learns of the limit.
+        Used when this entry receives updates from few entries, so the others' sends are unknown: it
+        uses only an even share, and sends nothing immediately when it learns of the limit.
         """
         times = self._sends.get(key)
-        last = max(self._since.get(key, 0.0), times[-1] if times else float("-inf"))
+        last = max(self._limited_since.get(key, 0.0), times[-1] if times else float("-inf"))
         return self._clock.monotonic() - last >= 1.0 / rate
 
     def _window_of(self, key: int) -> float:
-        reading = self._readings.get(key)
-        if reading is None or reading.per_second is None:
+        known_limit = self._known_limits.get(key)
+        if known_limit is None or known_limit.per_second is None:
             return 0.0
-        return _window(reading.per_second)
+        return _window(known_limit.per_second)
 
-    def _sent_lately(self, key: int, window: float) -> int:
+    def _recent_sends(self, key: int, window: float) -> int:
         oldest = self._clock.monotonic() - window
         return sum(1 for each in self._sends.get(key, ()) if each >= oldest)
 
-    def _told_lately(self, key: int, window: float) -> int:
-        """Return the requests of others, also of entries that have fallen silent since."""
+    def _recent_peer_sends(self, key: int, window: float) -> int:
+        """Return the requests sent by peers, including those that have since fallen silent."""
         oldest = self._clock.monotonic() - window
-        found = (told.get(key) for told in self._told.values())
+        found = (peer_sends.get(key) for peer_sends in self._peer_sends.values())
         return sum(each.sends for each in found if each is not None and each.at >= oldest)
 
-    # What is told.
+    # Announcements.
 
-    def rows(self, tellers: Iterable[str] = ()) -> list[RateRow]:
-        """Return what is told of the sends of this entry and of some tellers together."""
-        return self._rows([self._told[each] for each in tellers if each in self._told])
+    def rows(self, peers: Iterable[str] = ()) -> list[RateRow]:
+        """Return rows with the total sends of this entry and the given peers."""
+        return self._rows([self._peer_sends[each] for each in peers if each in self._peer_sends])
 
-    def rows_without(self, teller: str) -> list[RateRow]:
-        """Return what is told of all sends but those of one teller."""
-        return self._rows([told for each, told in self._told.items() if each != teller])
+    def rows_without(self, peer: str) -> list[RateRow]:
+        """Return rows with all sends except those of one peer."""
+        return self._rows(
+            [peer_sends for each, peer_sends in self._peer_sends.items() if each != peer]
+        )
 
-    def _rows(self, tolds: list[dict[int, _Told]]) -> list[RateRow]:
+    def _rows(self, peer_sends_list: list[dict[int, _PeerSends]]) -> list[RateRow]:
         now = self._clock.monotonic()
-        found = sorted(self._readings.items(), key=lambda each: -each[1].at)[:MOST_ROWS]
-        return [self._row(key, reading, tolds, now) for key, reading in found]
+        found = sorted(self._known_limits.items(), key=lambda each: -each[1].at)[:MAX_ROWS]
+        return [self._row(key, known_limit, peer_sends_list, now) for key, known_limit in found]
 
     def _row(
-        self, key: int, reading: Reading, tolds: list[dict[int, _Told]], now: float
+        self,
+        key: int,
+        known_limit: KnownLimit,
+        peer_sends_list: list[dict[int, _PeerSends]],
+        now: float,
     ) -> RateRow:
-        limit = reading.per_second
-        window = WINDOW if limit is None else _window(limit)
-        theirs = (told.get(key) for told in tolds)
+        limit = known_limit.per_second
+        window = WINDOW_SECONDS if limit is None else _window(limit)
+        theirs = (peer_sends.get(key) for peer_sends in peer_sends_list)
         sends = sum(each.sends for each in theirs if each is not None and each.at >= now - window)
         return RateRow(
             key=key,
             per_second=NO_LIMIT if limit is None else limit,
-            age=max(0.0, now - reading.at),
-            sends=self._sent_lately(key, window) + sends,
+            age=max(0.0, now - known_limit.at),
+            sends=self._recent_sends(key, window) + sends,
         )
 
     def forget(self, endpoint_ids: Iterable[str]) -> None:
-        """Drop what is known of replicas that are no longer published, and what has passed."""
+        """Drop the state of replicas that are no longer published, and expired state."""
         now = self._clock.monotonic()
         kept = {self._key_of(each) for each in endpoint_ids}
         ended = [
             key
-            for key, each in self._readings.items()
-            if key not in kept or (each.per_second is None and now - each.at > TAKEN_BACK_SECONDS)
+            for key, each in self._known_limits.items()
+            if key not in kept
+            or (each.per_second is None and now - each.at > WITHDRAWN_LIMIT_SECONDS)
         ]
         for key in ended:
-            del self._readings[key]
+            del self._known_limits[key]
             self._claims.pop(key, None)
-            self._since.pop(key, None)
-        self._unreadable &= kept
+            self._limited_since.pop(key, None)
+        self._unreadable_keys &= kept
         for key in [each for each in self._sends if each not in kept]:
             del self._sends[key]
-        longest = max(map(self._window_of, self._readings), default=0.0)
-        for teller, told in list(self._told.items()):
-            fresh = {key: each for key, each in told.items() if now - each.at <= longest}
+        longest = max(map(self._window_of, self._known_limits), default=0.0)
+        for peer, peer_sends in list(self._peer_sends.items()):
+            fresh = {key: each for key, each in peer_sends.items() if now - each.at <= longest}
             if fresh:
-                self._told[teller] = fresh
+                self._peer_sends[peer] = fresh
             else:
-                del self._told[teller]
+                del self._peer_sends[peer]
 
 
 def _window(per_second: float) -> float:
-    """Return the seconds in which requests are counted: one may be sent in them at the least."""
-    return max(WINDOW, 1.0 / max(per_second, ASK_RATE))
+    """Return the counting window in seconds, long enough for at least one request."""
+    return max(WINDOW_SECONDS, 1.0 / max(per_second, MIN_PROBE_RATE))
--- a/carawayhub/limits/retries.py
+++ b/carawayhub/limits/retries.py
@@ -9,10 +9,10 @@
 from carawayhub.config.model import Configuration
 from carawayhub.limits.bucket import TokenBucket
 
-DEPTH = 10.0
-FIRST_TOKENS = 3.0
-FIRST_BACKOFF = 0.02
-MAX_BACKOFF = 1.0
+BUDGET_DEPTH = 10.0
+INITIAL_TOKENS = 3.0
+INITIAL_BACKOFF_SECONDS = 0.02
+MAX_BACKOFF_SECONDS = 1.0
 MAX_ATTEMPTS = 4
 
 
@@ -44,7 +44,7 @@
     repeatable: bool
     attempts: int
     deadline: float
-    answer_begun: bool = False
+    answer_started: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,10 +87,10 @@
         """Take a configuration into force; budgets of organisations that stay are kept."""
         self._cfg = cfg
         self._budgets = {
-            name: self._budgets.get(name) or self._fresh() for name in cfg.organisations
+            name: self._budgets.get(name) or self._new_budget() for name in cfg.organisations
         }
 
-    def arrived(self, organisation: str) -> None:
+    def record_request(self, organisation: str) -> None:
         """Note a request, not an attempt, which earns its fraction of a retry."""
         budget = self._budgets.get(organisation)
         if budget is None or self._cfg is None:
@@ -101,7 +101,7 @@
     def decide(self, query: RetryQuery) -> RetryDecision:
         """Say whether a failed attempt may be repeated and spend from the budget if so."""
         now = self._clock.monotonic()
-        if query.answer_begun or not (query.repeatable or query.outcome is Outcome.NOT_RUN):
+        if query.answer_started or not (query.repeatable or query.outcome is Outcome.NOT_RUN):
             return RetryDecision(RetryVerdict.MAY_NOT_REPEAT, now)
         if query.attempts >= MAX_ATTEMPTS:
             return RetryDecision(RetryVerdict.ATTEMPTS, now)
@@ -113,9 +113,9 @@
             return RetryDecision(RetryVerdict.BUDGET, now)
         return RetryDecision(RetryVerdict.ALLOWED, at)
 
-    def _fresh(self) -> TokenBucket:
-        return TokenBucket(0.0, DEPTH, FIRST_TOKENS, self._clock.monotonic())
+    def _new_budget(self) -> TokenBucket:
+        return TokenBucket(0.0, BUDGET_DEPTH, INITIAL_TOKENS, self._clock.monotonic())
 
     def _backoff(self, attempts: int) -> float:
-        longest = min(MAX_BACKOFF, FIRST_BACKOFF * 2.0 ** (attempts - 1))
+        longest = min(MAX_BACKOFF_SECONDS, INITIAL_BACKOFF_SECONDS * 2.0 ** (attempts - 1))
         return self._rng.uniform(0.0, longest)
--- a/carawayhub/limits/split.py
+++ b/carawayhub/limits/split.py
@@ -7,7 +7,7 @@
 from carawayhub.limits.fill import water_fill
 
 FRESH_TICKS = 3
-UNNOTICED_TICKS = FRESH_TICKS + 2
+SILENCE_DETECTION_TICKS = FRESH_TICKS + 2
 
 
 @dataclass(slots=True)
@@ -56,7 +56,7 @@
         self.total = total
         self.claimed = 0.0
         self.announced = 0.0
-        self._recent: deque[float] = deque([0.0], maxlen=UNNOTICED_TICKS)
+        self._recent: deque[float] = deque([0.0], maxlen=SILENCE_DETECTION_TICKS)
         self._silent: frozenset[str] = frozenset()
 
     def tick(self, peers: Mapping[str, PeerPart], wanted: float, in_use: float) -> None:
@@ -68,18 +68,18 @@
             in_use: What cannot be given back now, such as requests in flight.
         """
         fresh = {name: peer for name, peer in peers.items() if peer.fresh}
-        self._undo_unheard(frozenset(peers) - frozenset(fresh))
+        self._undo_unseen_increases(frozenset(peers) - frozenset(fresh))
         silent = [peer for peer in peers.values() if not peer.fresh]
         targets = self._targets(fresh, silent, len(peers) + 1)
         target = max(targets[None], in_use)
         if target <= self.claimed:
             self.claimed = target
         else:
-            self.claimed += self._raise(fresh, silent, targets, len(peers) + 1)
+            self.claimed += self._claim_increase(fresh, silent, targets, len(peers) + 1)
         self._recent.append(self.claimed)
         self.announced = wanted
 
-    def _undo_unheard(self, silent: frozenset[str]) -> None:
+    def _undo_unseen_increases(self, silent: frozenset[str]) -> None:
         """Undo rises that an entry which has just fallen silent may not have heard of."""
         if silent - self._silent:
             self.claimed = min(self.claimed, *self._recent)
@@ -100,7 +100,7 @@
         spare = (available - sum(parts.values())) / len(parts)
         return {name: part + spare for name, part in parts.items()}
 
-    def _raise(
+    def _claim_increase(
         self,
         fresh: Mapping[str, PeerPart],
         silent: Iterable[PeerPart],
--- a/tests/test_group_load.py
+++ b/tests/test_group_load.py
@@ -34,29 +34,29 @@
         taken = 0
         for seed in range(9 * 40):
             claims = Claims(self.clock, random.Random(seed))
-            taken += claims.may_take(3.0, 9.0, 0.1)
+            taken += claims.may_acquire(3.0, 9.0, 0.1)
         self.assertAlmostEqual(taken / 40, 3.0, delta=0.6)
 
     def test_one_draw_for_each_news(self) -> None:
         claims = Claims(self.clock, random.Random(1))
-        drawn = [claims.may_take(1.0, 1e9, 0.1) for _ in range(50)]
+        drawn = [claims.may_acquire(1.0, 1e9, 0.1) for _ in range(50)]
         self.assertEqual(drawn, [False] * 50)
 
     def test_own_place_is_taken_again_at_once_and_once(self) -> None:
         claims = Claims(self.clock, random.Random(1))
-        claims.freed()
-        self.assertTrue(claims.may_take(1.0, 1e9, 0.1))
-        claims.taken()
-        self.assertFalse(claims.may_take(1.0, 1e9, 0.1))
+        claims.record_release()
+        self.assertTrue(claims.may_acquire(1.0, 1e9, 0.1))
+        claims.record_acquisition()
+        self.assertFalse(claims.may_acquire(1.0, 1e9, 0.1))
 
     def test_plenty_is_taken_freely(self) -> None:
         claims = Claims(self.clock, random.Random(1))
-        self.assertTrue(all(claims.may_take(30.0, 9.0, 0.1) for _ in range(20)))
+        self.assertTrue(all(claims.may_acquire(30.0, 9.0, 0.1) for _ in range(20)))
 
     def test_full_groups_are_not_given_more(self) -> None:
         claims = Claims(self.clock, random.Random(1))
-        claims.freed()
-        self.assertFalse(claims.may_take(0.4, 1.0, 0.1))
+        claims.record_release()
+        self.assertFalse(claims.may_acquire(0.4, 1.0, 0.1))
 
 
 class Replay(unittest.TestCase):
@@ -94,7 +94,7 @@
         """
         full = Load(rate=jump(60.0, 1.0, 0.0, 0.0), stretch=moving_demand(1e9, 1.3), seconds=12.0)
         self.assertLess(play(full, 1).most_waiting, 28)
-        with mock.patch.object(Claims, "may_take", lambda *_: True):
+        with mock.patch.object(Claims, "may_acquire", lambda *_: True):
             self.assertGreater(play(full, 1).most_waiting, 28)
 
 
--- a/tests/test_limits_admission.py
+++ b/tests/test_limits_admission.py
@@ -141,7 +141,7 @@
         unknown = Outcome.UNKNOWN
         self.assertEqual(self.decide(outcome=unknown), RetryVerdict.MAY_NOT_REPEAT)
         self.assertEqual(self.decide(outcome=unknown, repeatable=True), RetryVerdict.ALLOWED)
-        self.assertEqual(self.decide(answer_begun=True), RetryVerdict.MAY_NOT_REPEAT)
+        self.assertEqual(self.decide(answer_started=True), RetryVerdict.MAY_NOT_REPEAT)
 
     def test_never_past_the_deadline(self) -> None:
         passed = self.clock.monotonic()
@@ -151,7 +151,7 @@
         """Endpoints fail, every request is sent four times, and the load keeps them failing."""
         retries = 0
         for _ in range(1000):
-            self.budget.arrived("org")
+            self.budget.record_request("org")
             attempts = 1
             while self.decide(attempts=attempts) is RetryVerdict.ALLOWED:
                 retries += 1
@@ -171,7 +171,7 @@
         times = set()
         for _ in range(20):
             for _ in range(10):
-                self.budget.arrived("org")
+                self.budget.record_request("org")
             times.add(self.budget.decide(query).at)
         self.assertEqual(len(times), 20)
 
--- a/tests/test_limits_shares.py
+++ b/tests/test_limits_shares.py
@@ -16,7 +16,7 @@
 from carawayhub.limits.placement import Cells
 from carawayhub.limits.query import AdmitQuery
 from carawayhub.limits.shares import RESERVE_SECONDS, Demand, Shares
-from carawayhub.limits.split import UNNOTICED_TICKS
+from carawayhub.limits.split import SILENCE_DETECTION_TICKS
 
 RATE = 100.0
 TICK = 0.5
@@ -52,7 +52,7 @@
             for one, said in rows.items():
                 for other in rows:
                     if one != other and (one in self.side) == (other in self.side):
-                        self.shares[other].hear(one, self.incarnations[one], said)
+                        self.shares[other].update_demand(one, self.incarnations[one], said)
             most = max(most, sum(self.claims().values()))
         return most
 
@@ -103,8 +103,8 @@
         for rate in (10.0, 1000.0, 1e9):
             whole = 0.0
             for name in self.NAMES:
-                place = cells.place(name, "org", rate)
-                whole += place.part / len(place.members)
+                placement = cells.placement(name, "org", rate)
+                whole += placement.part / len(placement.members)
             self.assertAlmostEqual(whole, 1.0)
 
     def test_a_cell_is_small_and_a_new_entry_moves_few(self) -> None:
@@ -118,7 +118,7 @@
     def test_callers_are_sent_where_the_limit_is(self) -> None:
         cells = Cells(self.NAMES)
         best = cells.entries_for("org", 100.0)
-        parts = {name: cells.place(name, "org", 100.0) for name in self.NAMES}
+        parts = {name: cells.placement(name, "org", 100.0) for name in self.NAMES}
         inside = sum(parts[name].part / len(parts[name].members) for name in best)
         self.assertAlmostEqual(inside, 0.9)
 
@@ -156,7 +156,7 @@
         most = world.rounds(20, [100.0] * 4, silent=frozenset([dead]))
         self.assertLessEqual(most, RATE * 1.0001)
         for name in world.names[:3]:
-            world.shares[name].configure(world.cfg, gone=[dead])
+            world.shares[name].configure(world.cfg, removed=[dead])
         world.rounds(6, [100.0] * 4, silent=frozenset([dead]))
         claims = world.claims()
         self.assertAlmostEqual(sum(claims[n] for n in world.names[:3]), RATE, delta=0.5)
@@ -187,7 +187,7 @@
         first, second = world.names
         shares = world.shares[first]
         shares.tick({})
-        shares.hear(second, 1, ())
+        shares.update_demand(second, 1, ())
         self.assertEqual((shares.started, world.claims()[first]), (False, 0.0))
         shares.tick({})
         self.assertTrue(shares.started)
@@ -219,7 +219,9 @@
         for wants, count, event in steps:
             if event == 1:
                 world.side = frozenset() if world.side else frozenset(world.names[: size // 2])
-                self.assertLessEqual(world.rounds(UNNOTICED_TICKS, wants[:size]), RATE * 2.0001)
+                self.assertLessEqual(
+                    world.rounds(SILENCE_DETECTION_TICKS, wants[:size]), RATE * 2.0001
+                )
                 started.clear()
             if event == 2:
                 index = int(wants[0]) % size
@@ -254,7 +256,7 @@
                 clock.advance(TICK)
                 for one in entries:
                     for name, said in zip(names, rows, strict=True):
-                        one.hear(name, 1, said)
+                        one.update_demand(name, 1, said)
             try:
                 entry.admit(query)
                 admitted += 1
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -28,8 +28,8 @@
     """Let a limit that is used up see one wait for some seconds; return the end."""
     now = begin
     while now < begin + seconds:
-        limit.running(int(limit.value))
-        limit.answered(wait, int(limit.value), now)
+        limit.record_running(int(limit.value))
+        limit.record_first_byte(wait, int(limit.value), now)
         now += 0.02
     return now
 
@@ -56,7 +56,7 @@
         before = limit.value
         for _ in range(50):
             now += 0.02
-            limit.failed(0.0001, int(before), now)
+            limit.record_failure(0.0001, int(before), now)
         feed(limit, 0.5, 3.0, now)
         self.assertGreaterEqual(limit.value, before)
 
@@ -66,8 +66,8 @@
         before = limit.value
         for _ in range(200):
             now += 0.02
-            limit.running(int(limit.value))
-            limit.failed(5.0, int(limit.value), now)
+            limit.record_running(int(limit.value))
+            limit.record_failure(5.0, int(limit.value), now)
         self.assertLess(limit.value, before / 2)
 
     def test_long_answers_at_endpoints_with_room_are_no_queue(self) -> None:
@@ -81,13 +81,13 @@
         before = limit.value
         for _ in range(200):
             now += 0.02
-            limit.running(20)
-            limit.answered(3.0, 20, now, load=lambda: 0.1)
+            limit.record_running(20)
+            limit.record_first_byte(3.0, 20, now, load=lambda: 0.1)
         self.assertGreaterEqual(limit.value, before)
         for _ in range(200):
             now += 0.02
-            limit.running(20)
-            limit.answered(3.0, 20, now, load=lambda: 0.9)
+            limit.record_running(20)
+            limit.record_first_byte(3.0, 20, now, load=lambda: 0.9)
         self.assertLess(limit.value, before / 2)
 
     def test_long_streams_of_idle_endpoints_are_let_in(self) -> None:
@@ -102,11 +102,11 @@
         refused = 0
         for arrival in range(2 * wanted):
             now = arrival * 0.05
-            controller.arrived(key, now)
+            controller.record_arrival(key, now)
             if not controller.has_room(key):
                 refused += 1
                 continue
-            controller.begun(key)
+            controller.record_start(key)
             controller.first_byte(0.03, now + 0.03)
         self.assertGreaterEqual(controller.running, wanted)
         self.assertLessEqual(refused, wanted)
@@ -136,14 +136,14 @@
         for tenth in range(100):
             for key, rate in rates.items():
                 for _ in range(rate // 10):
-                    allotment.arrived(key, tenth / 10, limit)
-                    allotment.begun(key)
-                    allotment.ended(key, 1.0)
+                    allotment.record_arrival(key, tenth / 10, limit)
+                    allotment.record_start(key)
+                    allotment.record_end(key, 1.0)
         found = {}
         for key in rates:
             count = 0
             while allotment.has_room(key, limit, full=True):
-                allotment.begun(key)
+                allotment.record_start(key)
                 count += 1
             found[key] = count
         return found
--- a/tests/test_poison_records.py
+++ b/tests/test_poison_records.py
@@ -9,15 +9,15 @@
 from carawayhub.clock import ManualClock
 from carawayhub.limits.fingerprint import FINGERPRINT_BYTES, fingerprint
 from carawayhub.limits.poison import (
-    MOST_ENDS,
-    MOST_RECORDS,
+    MAX_ENDS,
+    MAX_RECORDS,
     POISON_SECONDS,
-    RENEW_PART,
+    RENEWAL_FRACTION,
     SUSPECT_SECONDS,
     EndsRow,
     PoisonRecords,
 )
-from carawayhub.limits.poisonnews import MOST_ROWS, PoisonNews
+from carawayhub.limits.poisonnews import MAX_ROWS, PoisonUpdates
 
 
 def setUpModule() -> None:
@@ -64,77 +64,77 @@
         told = []
         self.records.on_poison = told.append
         for endpoint in (7, 8, 8, 7):
-            self.records.ended(SPOILT, endpoint)
+            self.records.record_end(SPOILT, endpoint)
         self.assertFalse(self.records.is_poison(SPOILT))
-        self.records.ended(SPOILT, 9)
+        self.records.record_end(SPOILT, 9)
         self.assertTrue(self.records.is_poison(SPOILT))
         self.assertEqual(told, [SPOILT])
 
     def test_endpoint_that_starts_again_under_its_id_counts_each_time(self) -> None:
         """The last replica of a service ended every few seconds, and it counted as one end."""
         for _ in range(3):
-            self.records.ended(SPOILT, 7)
+            self.records.record_end(SPOILT, 7)
             self.clock.advance(0.4)
-            self.records.ended(SPOILT, 7)
+            self.records.record_end(SPOILT, 7)
             self.clock.advance(4.0)
         self.assertEqual(self.records.ends(SPOILT), 3)
         self.assertTrue(self.records.is_poison(SPOILT))
 
     def test_request_beside_it_twice_and_at_a_third_end_by_chance_is_not_refused(self) -> None:
         for endpoint in (1, 2, 3, 4):
-            self.records.ended(SPOILT, endpoint)
+            self.records.record_end(SPOILT, endpoint)
         for endpoint in (1, 2, 9):
-            self.records.ended(BESIDE, endpoint)
+            self.records.record_end(BESIDE, endpoint)
         self.assertEqual(self.records.poison, {SPOILT})
 
     def test_two_that_were_always_together_are_let_go_until_an_end_parts_them(self) -> None:
         for endpoint in (1, 2, 3):
-            self.records.ended(SPOILT, endpoint)
-            self.records.ended(BESIDE, endpoint)
+            self.records.record_end(SPOILT, endpoint)
+            self.records.record_end(BESIDE, endpoint)
         self.assertEqual(self.records.poison, frozenset())
-        self.records.ended(SPOILT, 4)
+        self.records.record_end(SPOILT, 4)
         self.assertEqual(self.records.poison, {SPOILT})
 
     def test_whole_answer_clears_and_ends_after_it_count_anew(self) -> None:
         for endpoint in (1, 2, 3):
-            self.records.ended(SPOILT, endpoint)
-        self.records.answered(SPOILT)
+            self.records.record_end(SPOILT, endpoint)
+        self.records.record_answer(SPOILT)
         self.assertEqual(self.records.ends(SPOILT), 0)
         self.assertFalse(self.records.is_poison(SPOILT))
         for endpoint in (4, 5, 6):
-            self.records.ended(SPOILT, endpoint)
+            self.records.record_end(SPOILT, endpoint)
         self.assertTrue(self.records.is_poison(SPOILT))
 
     def test_answer_to_a_request_that_nothing_is_held_against_leaves_no_record(self) -> None:
-        self.records.answered(SPOILT)
+        self.records.record_answer(SPOILT)
         self.assertEqual((len(self.records), self.records.number), (0, 0))
 
     def test_memory_is_bounded_and_what_is_refused_is_kept(self) -> None:
         """A loss of power ends thousands of requests at once, none of which is to blame."""
         for endpoint in (1, 2, 3):
-            self.records.ended(SPOILT, endpoint)
+            self.records.record_end(SPOILT, endpoint)
         for number in range(10, 20_010):
-            self.records.ended(name(number), number % 192)
-        self.assertEqual(len(self.records), MOST_RECORDS)
+            self.records.record_end(name(number), number % 192)
+        self.assertEqual(len(self.records), MAX_RECORDS)
         self.assertTrue(self.records.is_poison(SPOILT))
         for endpoint in range(100):
-            self.records.ended(SPOILT, endpoint)
-        self.assertLessEqual(self.records.ends(SPOILT), MOST_ENDS)
+            self.records.record_end(SPOILT, endpoint)
+        self.assertLessEqual(self.records.ends(SPOILT), MAX_ENDS)
 
     def test_record_is_forgotten_after_a_time_and_one_that_is_asked_for_is_kept(self) -> None:
-        self.records.ended(BESIDE, 1)
+        self.records.record_end(BESIDE, 1)
         for endpoint in (1, 2, 3):
-            self.records.ended(SPOILT, endpoint)
+            self.records.record_end(SPOILT, endpoint)
         self.clock.advance(SUSPECT_SECONDS + 1.0)
-        self.records.forget_old()
+        self.records.expire()
         self.assertEqual(len(self.records), 1)
         for _ in range(8):
-            self.clock.advance(POISON_SECONDS * (RENEW_PART + 0.1))
-            self.records.forget_old()
+            self.clock.advance(POISON_SECONDS * (RENEWAL_FRACTION + 0.1))
+            self.records.expire()
             self.assertTrue(self.records.is_poison(SPOILT))
-            self.records.came_again(SPOILT)
+            self.records.record_repeat(SPOILT)
         self.clock.advance(POISON_SECONDS + 1.0)
-        self.records.forget_old()
+        self.records.expire()
         self.assertFalse(self.records.is_poison(SPOILT))
         self.assertEqual(len(self.records), 0)
 
@@ -151,15 +151,15 @@
             for _ in range(40):
                 entry = rng.choice(entries)
                 if rng.random() < 0.1:
-                    entry.answered(name(rng.randrange(6)))
+                    entry.record_answer(name(rng.randrange(6)))
                 else:
-                    entry.ended(name(rng.randrange(6)), rng.randrange(12))
+                    entry.record_end(name(rng.randrange(6)), rng.randrange(12))
                 teller, hearer = rng.sample(entries, 2)
                 rows = teller.after(0, 99).rows
-                hearer.take(rng.sample(rows, rng.randint(0, len(rows))))
+                hearer.merge(rng.sample(rows, rng.randint(0, len(rows))))
             for _ in range(3):
                 for teller, hearer in itertools.permutations(entries, 2):
-                    hearer.take(teller.after(0, 99).rows)
+                    hearer.merge(teller.after(0, 99).rows)
             found = {
                 tuple(sorted((r.fingerprint, r.series, tuple(r.ends)) for r in e.after(0, 99).rows))
                 for e in entries
@@ -170,20 +170,20 @@
         clock = ManualClock(5.0)
         first, second = PoisonRecords(clock), PoisonRecords(clock)
         for endpoint in (1, 2, 3):
-            first.ended(SPOILT, endpoint)
+            first.record_end(SPOILT, endpoint)
         old = first.after(0, 9).rows
-        second.take(old)
-        first.answered(SPOILT)
-        second.take(first.after(0, 9).rows)
-        second.take(old)
+        second.merge(old)
+        first.record_answer(SPOILT)
+        second.merge(first.after(0, 9).rows)
+        second.merge(old)
         self.assertFalse(second.is_poison(SPOILT))
         third = PoisonRecords(clock)
-        third.take([EndsRow(SPOILT, 0, [1, 2, 3], POISON_SECONDS + 1.0)])
+        third.merge([EndsRow(SPOILT, 0, [1, 2, 3], POISON_SECONDS + 1.0)])
         self.assertEqual(len(third), 0)
 
     def test_rows_that_make_no_sense_are_passed_over(self) -> None:
         records = PoisonRecords(ManualClock(5.0))
-        records.take(
+        records.merge(
             [
                 EndsRow(b"short", 0, [1, 2, 3], 0.0),
                 EndsRow(SPOILT, -1, [1, 2, 3], 0.0),
@@ -199,15 +199,15 @@
         clock = ManualClock(5.0)
         first, second = PoisonRecords(clock), PoisonRecords(clock)
         for endpoint in (1, 2, 3):
-            first.ended(SPOILT, endpoint)
+            first.record_end(SPOILT, endpoint)
         known = 0
         for _ in range(8):
             changes = first.after(known, 9)
             known = changes.number
-            second.take(changes.rows)
+            second.merge(changes.rows)
             clock.advance(POISON_SECONDS * 0.3)
-            first.came_again(SPOILT)
-            second.forget_old()
+            first.record_repeat(SPOILT)
+            second.expire()
             self.assertTrue(second.is_poison(SPOILT))
 
 
@@ -217,33 +217,33 @@
     def setUp(self) -> None:
         self.clock = ManualClock(5.0)
         self.records = PoisonRecords(self.clock)
-        self.news = PoisonNews(self.records)
+        self.news = PoisonUpdates(self.records)
 
     def test_what_was_lost_is_told_again_and_what_was_heard_is_not(self) -> None:
-        self.records.ended(SPOILT, 1)
+        self.records.record_end(SPOILT, 1)
         self.assertEqual(len(self.news.rows_for("b", "run", 1)), 1)
         self.assertEqual(len(self.news.rows_for("b", "run", 2)), 1)
-        self.news.heard("b", "run", 2)
+        self.news.acknowledge("b", "run", 2)
         self.assertEqual(self.news.rows_for("b", "run", 3), [])
-        self.records.ended(SPOILT, 2)
+        self.records.record_end(SPOILT, 2)
         self.assertEqual(len(self.news.rows_for("b", "run", 4)), 1)
 
     def test_peer_that_heard_only_a_later_datagram_is_told_what_that_one_lacked(self) -> None:
-        for number in range(MOST_ROWS + 5):
-            self.records.ended(name(number), 1)
+        for number in range(MAX_ROWS + 5):
+            self.records.record_end(name(number), 1)
         told = self.news.rows_for("b", "run", 1)
-        self.news.heard("b", "run", 1)
+        self.news.acknowledge("b", "run", 1)
         rest = self.news.rows_for("b", "run", 2)
-        self.assertEqual((len(told), len(rest)), (MOST_ROWS, 5))
-        self.news.heard("b", "run", 3)
+        self.assertEqual((len(told), len(rest)), (MAX_ROWS, 5))
+        self.news.acknowledge("b", "run", 3)
         self.assertEqual(len(self.news.rows_for("b", "run", 4)), 5)
 
     def test_peer_that_starts_anew_is_told_all(self) -> None:
-        self.records.ended(SPOILT, 1)
+        self.records.record_end(SPOILT, 1)
         self.news.rows_for("b", "run", 1)
-        self.news.heard("b", "run", 1)
+        self.news.acknowledge("b", "run", 1)
         self.assertEqual(len(self.news.rows_for("b", "next run", 2)), 1)
-        self.news.keep(frozenset())
+        self.news.retain(frozenset())
         self.assertEqual(len(self.news.rows_for("b", "next run", 3)), 1)
 
 
--- a/tests/test_relay_poison.py
+++ b/tests/test_relay_poison.py
@@ -17,7 +17,7 @@
 from carawayhub.entry.process import EntryProcess
 from carawayhub.errors import RequestError
 from carawayhub.limits.poison import PoisonRecords
-from carawayhub.limits.poisonnews import PoisonNews
+from carawayhub.limits.poisonnews import PoisonUpdates
 from carawayhub.peers.links import Peer
 from carawayhub.peers.messages import Heartbeat, HeartbeatReply, Hello, ProcessRole
 from tests.entry_fakes import Caller, Desk
@@ -114,9 +114,9 @@
     def entry(self) -> EntryProcess:
         """Return as much of an entry as links speak to."""
         entry = object.__new__(EntryProcess)
-        entry._poison_news = PoisonNews(PoisonRecords(ManualClock(5.0)))
+        entry._poison_news = PoisonUpdates(PoisonRecords(ManualClock(5.0)))
         entry._runs = {}
-        entry._admission = SimpleNamespace(hear=lambda *args: None)
+        entry._admission = SimpleNamespace(update_demand=lambda *args: None)
         return entry
 
     def test_peer_is_told_until_it_answers_and_again_once_it_has_started_anew(self) -> None:
@@ -129,7 +129,7 @@
             failure_domain="brest",
             address="10.0.0.1:70",
         )
-        first._poison_news.records.ended(CONTENT, 7)
+        first._poison_news.records.record_end(CONTENT, 7)
 
         def replies(sequence: int, incarnation: int) -> None:
             reply = HeartbeatReply(sequence=sequence, incarnation=incarnation, version=1, digest="")
@@ -151,8 +151,8 @@
 
     def test_heartbeat_carries_records_and_is_read_without_them(self) -> None:
         records = PoisonRecords(ManualClock(5.0))
-        records.ended(CONTENT, 7)
-        rows = PoisonNews(records).rows_for("e2", "run", 1)
+        records.record_end(CONTENT, 7)
+        rows = PoisonUpdates(records).rows_for("e2", "run", 1)
         sent = Heartbeat(sequence=1, version=2, digest="d", ends=tuple(rows))
         self.assertEqual(msgspec.msgpack.decode(msgspec.msgpack.encode(sent), type=Heartbeat), sent)
         plain = Heartbeat(sequence=1, version=2, digest="d")
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -20,13 +20,13 @@
 from carawayhub.gateway.hello import Hello, News, Phase
 from carawayhub.gateway.peers import MISSED_SECONDS, Peers
 from carawayhub.limits.replicarate import (
-    ASK_RATE,
-    MOST_ROWS,
+    MAX_ROWS,
+    MIN_PROBE_RATE,
     NO_LIMIT,
-    TAKEN_BACK_SECONDS,
+    WITHDRAWN_LIMIT_SECONDS,
+    FleetEstimate,
     RateRow,
     ReplicaRates,
-    Surroundings,
 )
 from carawayhub.platform.headers import PlatformWire
 
@@ -170,19 +170,19 @@
         Its limit is known from a quick answer. A long stream that was asked for before ends its
         wait for a first event then; its head was written before the replica was in need.
         """
-        self.rates.read("1", 3.0, sent_at=99.9)
-        self.rates.read("1", None, sent_at=99.0)
+        self.rates.record_limit("1", 3.0, sent_at=99.9)
+        self.rates.record_limit("1", None, sent_at=99.0)
         self.assertEqual(self.rates.limit("1"), 3.0)
         self.clock.advance(1.0)
-        self.rates.read("1", None, sent_at=100.5)
+        self.rates.record_limit("1", None, sent_at=100.5)
         self.assertIsNone(self.rates.limit("1"))
 
     def test_the_newest_word_holds_whoever_says_it(self) -> None:
-        self.rates.read("1", 3.0, sent_at=99.9)
-        self.rates.heard("peer", [RateRow(1, 9.0, 2.0, 0)], written_at=99.0)
+        self.rates.record_limit("1", 3.0, sent_at=99.9)
+        self.rates.receive_rows("peer", [RateRow(1, 9.0, 2.0, 0)], written_at=99.0)
         self.assertEqual(self.rates.limit("1"), 3.0)
         self.clock.advance(2.0)
-        self.rates.heard("peer", [RateRow(1, NO_LIMIT, 0.5, 0)], written_at=101.9)
+        self.rates.receive_rows("peer", [RateRow(1, NO_LIMIT, 0.5, 0)], written_at=101.9)
         self.assertIsNone(self.rates.limit("1"))
 
     def test_datagrams_that_waited_bring_no_old_limit_back(self) -> None:
@@ -190,33 +190,33 @@
 
         Their ages speak of when they were written; each is dated by what it answers to.
         """
-        self.rates.read("1", 3.0, sent_at=99.9)
+        self.rates.record_limit("1", 3.0, sent_at=99.9)
         self.clock.advance(10.0)
-        self.rates.heard("peer", [RateRow(1, 8.0, 0.0, 0)], written_at=95.0)
+        self.rates.receive_rows("peer", [RateRow(1, 8.0, 0.0, 0)], written_at=95.0)
         self.assertEqual(self.rates.limit("1"), 3.0)
 
     def test_a_limit_ends_with_its_replica(self) -> None:
-        self.rates.read("1", 3.0, sent_at=99.9)
-        self.rates.read("2", 3.0, sent_at=99.9)
+        self.rates.record_limit("1", 3.0, sent_at=99.9)
+        self.rates.record_limit("2", 3.0, sent_at=99.9)
         self.rates.forget(["2"])
         self.assertEqual(self.rates.limits(), {2: 3.0})
 
     def test_that_a_limit_ended_is_told_for_some_time(self) -> None:
-        self.rates.read("1", 3.0, sent_at=99.9)
+        self.rates.record_limit("1", 3.0, sent_at=99.9)
         self.clock.advance(1.0)
-        self.rates.read("1", None, sent_at=100.9)
+        self.rates.record_limit("1", None, sent_at=100.9)
         self.assertEqual([row.per_second for row in self.rates.rows()], [NO_LIMIT])
-        self.clock.advance(TAKEN_BACK_SECONDS + 1.0)
+        self.clock.advance(WITHDRAWN_LIMIT_SECONDS + 1.0)
         self.rates.forget(["1"])
         self.assertEqual(self.rates.rows(), [])
         self.assertFalse(self.rates.any_limited)
 
     def test_what_is_told_is_bounded(self) -> None:
-        for at in range(3 * MOST_ROWS):
+        for at in range(3 * MAX_ROWS):
             self.clock.advance(0.01)
-            self.rates.read(str(at), 3.0, sent_at=99.9)
+            self.rates.record_limit(str(at), 3.0, sent_at=99.9)
         told = {row.key for row in self.rates.rows()}
-        self.assertEqual(told, set(range(2 * MOST_ROWS, 3 * MOST_ROWS)))
+        self.assertEqual(told, set(range(2 * MAX_ROWS, 3 * MAX_ROWS)))
 
 
 class Deciding(unittest.TestCase):
@@ -225,52 +225,52 @@
     def setUp(self) -> None:
         self.clock = ManualClock(100.0)
         self.rates = ReplicaRates(self.clock, random.Random(1), key)
-        self.rates.read("1", 3.0, sent_at=99.9)
+        self.rates.record_limit("1", 3.0, sent_at=99.9)
 
-    def send(self, count: int, around: Surroundings) -> int:
+    def send(self, count: int, estimate: FleetEstimate) -> int:
         """Ask for some requests at once; return how many may go."""
         sent = 0
         for _ in range(count):
-            if self.rates.may_send("1", around):
-                self.rates.sent("1")
+            if self.rates.may_send("1", estimate):
+                self.rates.record_send("1")
                 sent += 1
         return sent
 
     def test_a_window_holds_what_the_limit_says(self) -> None:
-        alone = Surroundings(wanted=0.0, news=0.1, part=1.0)
+        alone = FleetEstimate(expected_arrivals=0.0, propagation_delay=0.1, part=1.0)
         self.assertEqual(self.send(50, alone), 6)
         self.clock.advance(2.1)
         self.assertEqual(self.send(50, alone), 6)
 
     def test_what_others_sent_is_taken_off(self) -> None:
-        around = Surroundings(wanted=0.0, news=0.1, part=1.0)
-        self.rates.heard("a", [RateRow(1, 3.0, 0.1, 3)], written_at=100.0)
-        self.rates.heard("b", [RateRow(1, 3.0, 0.1, 2)], written_at=100.0)
-        self.assertEqual(self.send(50, around), 1)
+        estimate = FleetEstimate(expected_arrivals=0.0, propagation_delay=0.1, part=1.0)
+        self.rates.receive_rows("a", [RateRow(1, 3.0, 0.1, 3)], written_at=100.0)
+        self.rates.receive_rows("b", [RateRow(1, 3.0, 0.1, 2)], written_at=100.0)
+        self.assertEqual(self.send(50, estimate), 1)
 
     def test_what_a_silent_entry_sent_counts_until_its_window_ends(self) -> None:
         """An entry that falls silent may be cut off and alive; its sends reached the replica."""
-        around = Surroundings(wanted=0.0, news=0.1, part=1.0)
-        self.rates.heard("a", [RateRow(1, 3.0, 0.1, 6)], written_at=100.0)
+        estimate = FleetEstimate(expected_arrivals=0.0, propagation_delay=0.1, part=1.0)
+        self.rates.receive_rows("a", [RateRow(1, 3.0, 0.1, 6)], written_at=100.0)
         self.clock.advance(1.5)
-        self.assertEqual(self.send(50, around), 0)
+        self.assertEqual(self.send(50, estimate), 0)
         self.clock.advance(1.0)
-        self.assertEqual(self.send(50, around), 6)
+        self.assertEqual(self.send(50, estimate), 6)
 
     def test_who_hears_of_nobody_takes_a_small_part_and_never_none(self) -> None:
-        around = Surroundings(wanted=0.0, news=0.1, part=0.01)
-        self.assertEqual(self.send(50, around), 0)
+        estimate = FleetEstimate(expected_arrivals=0.0, propagation_delay=0.1, part=0.01)
+        self.assertEqual(self.send(50, estimate), 0)
         self.clock.advance(1.0 / (3.0 * 0.01) + 0.1)
-        self.assertEqual(self.send(50, around), 1)
+        self.assertEqual(self.send(50, estimate), 1)
 
     def test_a_replica_that_takes_none_is_still_asked(self) -> None:
         """It names no requests a second, and only an answer can say that it recovered."""
         self.clock.advance(1.0)
-        self.rates.read("1", 0.0, sent_at=100.9)
-        around = Surroundings(wanted=0.0, news=0.1, part=1.0)
-        self.assertEqual(self.send(50, around), 1)
-        self.clock.advance(1.0 / ASK_RATE + 0.1)
-        self.assertEqual(self.send(50, around), 1)
+        self.rates.record_limit("1", 0.0, sent_at=100.9)
+        estimate = FleetEstimate(expected_arrivals=0.0, propagation_delay=0.1, part=1.0)
+        self.assertEqual(self.send(50, estimate), 1)
+        self.clock.advance(1.0 / MIN_PROBE_RATE + 0.1)
+        self.assertEqual(self.send(50, estimate), 1)
 
 
 class Hearing(unittest.TestCase):
