--- a/carawayhub/limits/__init__.py
+++ b/carawayhub/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Rates, concurrency, overload and retry budgets; library code without a network."""
+"""Rate and concurrency limits, overload control and retry budgets, without network access."""
--- a/carawayhub/limits/account.py
+++ b/carawayhub/limits/account.py
@@ -1,4 +1,4 @@
-"""One organisation's rate, concurrency and demand at one entry."""
+"""Rate, concurrency and demand of one organisation at one entry."""
 
 import math
 
@@ -12,7 +12,7 @@
 
 
 class Account:
-    """What one organisation has used and asked for at this entry.
+    """Usage and demand of one organisation at this entry.
 
     Attributes:
         running: Its requests in flight.
@@ -44,7 +44,7 @@
         self._measured_at = now
 
     def resize(self, allowance: Allowance, now: float) -> None:
-        """Take new limits into force."""
+        """Apply new limits."""
         self._bucket.resize(allowance.rate, allowance.depth, now)
         self._slots = allowance.slots
         self._single = allowance.single
@@ -54,17 +54,17 @@
         self._arrivals += 1
 
     def rate_wait(self, now: float) -> float | None:
-        """Return the seconds until the rate leaves room for a request, None for never yet."""
+        """Return the seconds until the rate allows a request, None if the current rate is zero."""
         return self._bucket.seconds_until(1.0, now)
 
     def has_slot(self) -> bool:
-        """Return whether one more request may run."""
+        """Return whether another request may run."""
         if self.running < self._slots:
             return True
         return self.running == 0 and self._single
 
     def record_slot_rejection(self) -> None:
-        """Count a request that was refused for want of a slot."""
+        """Count a request that was rejected because no slot was free."""
         self._rejected_slots += 1
 
     def record_start(self, now: float) -> None:
@@ -78,7 +78,7 @@
         self.running -= 1
 
     def demand(self, now: float) -> Demand:
-        """Return what the organisation's callers ask for, measured since the last call."""
+        """Return the demand of the organisation's callers, measured since the last call."""
         elapsed = now - self._measured_at
         if elapsed > 0.0:
             self._rate = _smoothed(self._rate * elapsed, self._arrivals) / elapsed
@@ -91,10 +91,10 @@
 
 
 def _smoothed(mean: float, count: int) -> float:
-    """Return a mean moved towards a count: slowly within chance, quickly where it has shifted.
+    """Return a mean moved towards a count: slowly within random variation, fast after a shift.
 
-    A want that follows chance makes every entry give up and take parts at each tick, and what is
-    on the way between two entries is used by neither.
+    If demand followed random variation, every entry would release and claim shares at each tick,
+    and a share in transit between two entries is used by neither.
     """
     chance = JUMP_DEVIATIONS * math.sqrt(mean + 1.0)
     gain = STEADY_GAIN if abs(count - mean) <= chance else JUMP_GAIN
--- a/carawayhub/limits/adaptive.py
+++ b/carawayhub/limits/adaptive.py
@@ -1,4 +1,4 @@
-"""A limit on concurrency that follows how long requests wait for their first byte."""
+"""Adaptive concurrency limit, controlled by the time to the first byte of answers."""
 
 import math
 from collections.abc import Callable
@@ -25,19 +25,19 @@
 
 
 class AdaptiveLimit:
-    """Requests that may run at one target at once.
+    """The number of requests that may run concurrently at one target.
 
-    When a low quantile of the waits of a short window is above what is allowed, a queue stands:
-    the limit is cut in proportion. A limit that is used up without such a queue grows, by steps
-    that grow more slowly than the limit, so that the limits of several entries converge.
+    If a low quantile of the waits in a short window exceeds the allowed wait, a standing queue has
+    formed and the limit is cut in proportion. If the limit is reached without such a queue, it is
+    raised by steps that grow more slowly than the limit, so the limits of several entries converge.
 
-    What is allowed is the same ``WAIT_SECONDS`` at all entries, or three times the wait of the
-    idle target where that is longer. A bound that followed each entry's own estimate alone would
-    favour the entry that began under load and takes the queue for the usual wait.
+    The allowed wait is ``ALLOWED_WAIT_SECONDS`` at all entries, or three times the wait at the idle
+    target if that is longer. A bound based only on each entry's own estimate would favour an entry
+    that started under load and mistakes the queue for the normal wait.
 
     Attributes:
         value: The limit.
-        base: Seconds to the first byte without a queue, None for unknown.
+        base: Seconds to the first byte without a queue, None if unknown.
     """
 
     __slots__ = ("_settled", "_peak", "_waits", "_window_until", "base", "value")
@@ -51,7 +51,7 @@
         self._window_until = 0.0
 
     def record_running(self, count: int) -> None:
-        """Note how many requests run."""
+        """Record the number of running requests."""
         self._peak = max(self._peak, count)
 
     def record_first_byte(
@@ -61,13 +61,14 @@
         now: float,
         load: Callable[[], float | None] = _unknown_load,
     ) -> None:
-        """Take the seconds that a request waited for the first byte of its answer.
+        """Record how long a request waited for the first byte of its answer.
 
         Args:
-            wait: The seconds.
-            running: Requests that run.
-            now: Reading of the clock.
-            load: Gives the load of the target's endpoints over their capacity, None for unknown.
+            wait: Seconds waited.
+            running: Number of running requests.
+            now: Current timestamp.
+            load: Returns the load of the target's endpoints relative to their capacity, None if
+                unknown.
         """
         self._waits.append(wait)
         self._raise_on_fast_answer(wait, running, load)
@@ -87,11 +88,11 @@
         now: float,
         load: Callable[[], float | None] = _unknown_load,
     ) -> None:
-        """Take a request that ended without an answer.
+        """Record a request that ended without an answer.
 
-        Guards against two misreadings of a failure: one that comes at once would pass for an idle
-        target and, as the new base, make every true wait look like a queue; and an endpoint that
-        answers nothing would leave no waits at all. So a failure counts only above the base.
+        Only failures slower than the base count. An immediate failure would look like an idle
+        target and, as the new base, make every real wait look like a queue. Slow failures must
+        count because an endpoint that answers nothing would otherwise produce no waits at all.
         """
         if self.base is not None and wait > self.base:
             self.record_first_byte(wait, running, now, load)
@@ -99,12 +100,12 @@
     def _raise_on_fast_answer(
         self, wait: float, running: int, load: Callable[[], float | None]
     ) -> None:
-        """Raise the limit by one for each quick answer of endpoints that have room to spare.
+        """Raise the limit by one for each fast answer from endpoints with spare capacity.
 
-        Guards against a limit that starves itself: with streams that run for long, no answer
-        begins while the limit is used up, and without answers no window ends that could raise it.
-        A restarted entry then refused nearly all streams of idle endpoints. Each request that a
-        raise lets in brings an answer, and so the next raise.
+        Without this, long streams could block the limit from growing: while they use up the limit
+        no further answer begins, and without answers no window ends that could raise it. A
+        restarted entry would then reject nearly all streams although the endpoints are idle. Each
+        raise admits a request whose answer allows the next raise.
         """
         if running < LIMITING_FRACTION * self.value or self.base is None:
             return
@@ -115,13 +116,13 @@
             self.value += 1.0
 
     def _adjust(self, low: float, load: float | None) -> None:
-        """Move the limit at the end of a window.
+        """Adjust the limit at the end of a window.
 
-        Guards against overload that feeds itself: once requests wait longer than callers do,
-        all work is wasted and callers ask again. A low quantile and not the mean decides, since a
-        burst makes some wait and only a standing queue makes all wait. Answers that take long in
-        themselves, as whole ones do, can look the same; endpoints with room to spare tell them
-        apart.
+        Prevents self-sustaining overload: once requests wait longer than their callers do, all
+        work is wasted and the callers retry. A low quantile is used rather than the mean, since a
+        burst delays some requests while only a standing queue delays all. Answers that are slow in
+        themselves, such as non-streamed ones, can look the same; they are distinguished by
+        endpoints that have spare capacity.
         """
         busy = load is None or load >= BUSY_LOAD
         allowed = max(ALLOWED_WAIT_SECONDS, ALLOWED_WAIT_FACTOR * self._update_base(low))
@@ -135,7 +136,7 @@
             self._settled = True
 
     def _growth_step(self, far_below: bool) -> float:
-        """Return the next step up: a large one at first and far below what is allowed."""
+        """Return the next increase: larger initially and far below the allowed wait."""
         step = math.sqrt(self.value) / 2.0
         if not far_below:
             return step
@@ -144,11 +145,11 @@
         )
 
     def _update_base(self, low: float) -> float:
-        """Return the base: it falls at once, and rises slowly and only with room to spare.
+        """Update and return the base: it falls at once and rises slowly, with spare capacity only.
 
-        Guards against a base that is no longer true, as with longer prompts or slower endpoints:
-        every wait then looks like a queue and the limit falls to its floor. There nothing can
-        queue, and the base is learned anew within a second or two.
+        If the base is outdated, for instance after prompts became longer or endpoints slower, every
+        wait looks like a queue and the limit falls to its minimum. Nothing can queue there, so the
+        base is relearned within a second or two.
         """
         if self.base is None or low < self.base:
             self.base = low
--- a/carawayhub/limits/allotment.py
+++ b/carawayhub/limits/allotment.py
@@ -1,4 +1,4 @@
-"""Division of a target's concurrency among priorities and, within one, organisations."""
+"""Divides a target's concurrency among priorities and, within each, among organisations."""
 
 import math
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """Whose requests are counted together."""
+    """Priority and organisation whose requests are counted together."""
 
     priority: int
     organisation: str
@@ -26,8 +26,8 @@
 
     Attributes:
         arrivals: Requests since the last division.
-        rate: Requests a second, smoothed.
-        running: Requests that run.
+        rate: Smoothed requests per second.
+        running: Number of running requests.
         allotted: Requests that may run when the target is near its limit.
     """
 
@@ -41,11 +41,11 @@
 
 
 class Allotment:
-    """Gives each priority what it asks for before the next, and within it even parts.
+    """Serves priorities in strict order and divides max-min fairly among organisations within each.
 
-    What a key asks for is its rate of arrival times the mean time a request is held. Shedding
-    then begins with the lowest priority, and an organisation that surges is cut back to its even
-    part while another of the same priority keeps all that it asks for.
+    The demand of a key is its arrival rate times the mean time for which a request is held. Load
+    shedding thus starts with the lowest priority, and a surging organisation is cut back to its
+    even share while another of the same priority keeps everything it demands.
     """
 
     __slots__ = ("_divided_at", "_flows", "_mean_hold")
@@ -65,12 +65,12 @@
             self._divided_at = now
 
     def has_room(self, key: Key, limit: float, full: bool) -> bool:
-        """Return whether a request of the key is within its part.
+        """Return whether a request of the key is within its allotment.
 
         Args:
-            key: Whose request it is.
-            limit: Requests that may run at the target at once.
-            full: Whether that many run now; a key may then have only what it asked for.
+            key: Priority and organisation of the request.
+            limit: Requests that may run concurrently at the target.
+            full: Whether that many are running; a key is then held to its own demand.
         """
         flow = self._flow(key, limit)
         allotted = min(flow.allotted, self._requested_slots(flow)) if full else flow.allotted
@@ -81,7 +81,7 @@
         self._flow(key, 0.0).running += 1
 
     def record_end(self, key: Key, held: float) -> None:
-        """Count the end of a request that was held for some seconds."""
+        """Count the end of a request that was held for ``held`` seconds."""
         self._flow(key, 0.0).running -= 1
         self._mean_hold = (
             held
@@ -96,7 +96,7 @@
         return flow
 
     def _requested_slots(self, flow: _Flow) -> float:
-        """Return the requests a flow would have running, with room for chance."""
+        """Return the expected running requests of a flow plus a margin for random variation."""
         mean = flow.rate * self._mean_hold
         return mean + MARGIN_DEVIATIONS * math.sqrt(mean) + 1.0
 
--- a/carawayhub/limits/bucket.py
+++ b/carawayhub/limits/bucket.py
@@ -2,11 +2,11 @@
 
 
 class TokenBucket:
-    """Tokens that accrue with time and are spent one for each request.
+    """Tokens that accrue over time and are spent by requests.
 
     Attributes:
-        rate: Tokens a second.
-        depth: Tokens that it holds at most.
+        rate: Tokens per second.
+        depth: Maximum number of tokens.
     """
 
     __slots__ = ("_tokens", "_updated_at", "depth", "rate")
@@ -18,24 +18,24 @@
         self._updated_at = now
 
     def resize(self, rate: float, depth: float, now: float) -> None:
-        """Change rate and depth; tokens that no longer fit are lost, none are added."""
+        """Change rate and depth; tokens beyond the new depth are dropped, none are added."""
         self._accrue(now)
         self.rate = rate
         self.depth = depth
         self._tokens = min(self._tokens, depth)
 
     def available(self, now: float) -> float:
-        """Return the tokens that may be spent now."""
+        """Return the tokens that are available now."""
         self._accrue(now)
         return self._tokens
 
     def add(self, tokens: float, now: float) -> None:
-        """Put tokens in besides those that accrue."""
+        """Add tokens in addition to those that accrue."""
         self._accrue(now)
         self._tokens = min(self.depth, self._tokens + tokens)
 
     def spend(self, tokens: float, now: float) -> bool:
-        """Take tokens out if they are there; return whether they were."""
+        """Spend tokens if enough are available; return whether they were."""
         self._accrue(now)
         if self._tokens < tokens:
             return False
@@ -43,7 +43,7 @@
         return True
 
     def seconds_until(self, tokens: float, now: float) -> float | None:
-        """Return in how many seconds ``tokens`` will be there, None for never at this rate."""
+        """Return the seconds until ``tokens`` are available, None if never at this rate."""
         missing = tokens - self.available(now)
         if missing <= 0.0:
             return 0.0
--- a/carawayhub/limits/fill.py
+++ b/carawayhub/limits/fill.py
@@ -7,9 +7,9 @@
 
 
 def water_fill(total: float, wanted: Mapping[K, float]) -> dict[K, float]:
-    """Divide ``total`` so that nobody gets more than wanted while another lacks more.
+    """Divide ``total`` max-min fairly, so that no key gets more than it wants.
 
-    Who wants less than an even part gets all of it; the others share the rest evenly.
+    Keys that want less than an even share get all they want; the others share the rest evenly.
 
     Example:
         >>> water_fill(10.0, {"a": 2.0, "b": 9.0, "c": 9.0})
--- a/carawayhub/limits/fingerprint.py
+++ b/carawayhub/limits/fingerprint.py
@@ -1,27 +1,27 @@
-"""Names a request by what it asks, whatever attempt of its caller it is.
+"""Identifies a request by its content, independent of the caller's attempt.
 
-Callers give each attempt an id of its own. A request that comes again after a failure is so a new
-one to every entry; the fingerprint is what both have in common.
+Callers give each attempt its own id, so a retry after a failure looks like a new request to every
+entry; all attempts have the same fingerprint.
 """
 
 import hashlib
 
 FINGERPRINT_BYTES = 12
-"""Length of a fingerprint: of a billion requests two share one with a chance of 1 in 10^11."""
+"""Length of a fingerprint: two of a billion requests collide with a probability of 1 in 10^11."""
 
 
 def fingerprint(caller: str, method: str, host: str, target: bytes, body: bytes) -> bytes:
-    """Return the name of what a request asks.
+    """Return the fingerprint of a request.
 
-    Headers do not count: ids, deadlines and the event after which a stream goes on differ between
+    Headers are excluded: ids, deadlines and the event after which a stream resumes differ between
     attempts.
 
     Args:
-        caller: Organisation that sends it, empty where none is known.
+        caller: Organisation that sent it, empty if unknown.
         method: HTTP method.
-        host: Host that it asks for, in any case.
-        target: Path and query as they were sent.
-        body: Whole body.
+        host: Requested host, case-insensitive.
+        target: Path and query as sent.
+        body: Complete body.
     """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (caller, method, host.lower()):
--- a/carawayhub/limits/latency.py
+++ b/carawayhub/limits/latency.py
@@ -1,11 +1,11 @@
-"""How long a request to one target is likely to take."""
+"""Estimates how long a request to one target takes."""
 
 GAIN = 0.1
 STALE_AFTER_SECONDS = 1.0
 
 
 class LatencyEstimate:
-    """Means of the wait for the first byte and of the time for each unit of work after it."""
+    """Moving averages of the wait for the first byte and of the time per unit of work after it."""
 
     __slots__ = ("_cost", "_per_cost", "_wait", "_waited_at")
 
@@ -16,12 +16,12 @@
         self._waited_at = 0.0
 
     def record_wait(self, seconds: float, now: float) -> None:
-        """Take one wait for a first byte."""
+        """Record one wait for a first byte."""
         self._wait = seconds if self._wait <= 0.0 else self._wait + GAIN * (seconds - self._wait)
         self._waited_at = now
 
     def record_stream(self, seconds: float, cost: float) -> None:
-        """Take the time from first byte to end of a request of ``cost``."""
+        """Record the time from the first byte to the end of a request with the given cost."""
         if cost <= 0.0:
             return
         sample = seconds / cost
@@ -33,14 +33,14 @@
         self._cost += GAIN * (cost - self._cost)
 
     def expected(self, cost: float, now: float) -> float:
-        """Return the seconds that a request of ``cost`` is likely to take.
+        """Return the expected duration in seconds of a request with the given cost.
 
-        More than the usual cost is taken for the usual: what callers name is a bound, such as the
-        most tokens wanted, and few answers reach a high one. Refusing by it would refuse callers
-        with a generous bound for ever.
+        A cost above the mean counts as the mean: callers specify an upper bound, such as the
+        maximum number of tokens, and few answers reach a high one. Rejecting by the bound itself
+        would permanently reject callers with a generous one.
 
-        Guards against refusing for ever: where every request is refused because the wait was once
-        long, no new wait is seen. Without samples the estimate halves with each second.
+        Without samples the estimate halves every second. Otherwise requests could be rejected
+        forever: if all are rejected because the wait was once long, no new wait is measured.
         """
         idle = now - self._waited_at - STALE_AFTER_SECONDS
         factor = 0.5**idle if idle > 0.0 else 1.0
--- a/carawayhub/limits/overload.py
+++ b/carawayhub/limits/overload.py
@@ -1,4 +1,4 @@
-"""Control of one target's load: how many requests run at once, and whose."""
+"""Overload control for one target: how many requests run concurrently, and whose."""
 
 from collections.abc import Callable
 
@@ -14,16 +14,16 @@
     """Decides whether a request to one target may run now.
 
     Attributes:
-        running: Requests that run.
+        running: Number of running requests.
     """
 
     __slots__ = ("_allotment", "_latency", "_limit", "_load", "running")
 
     def __init__(self, load: Callable[[], float | None]) -> None:
-        """Make the controller of one target.
+        """Initialize the controller of one target.
 
         Args:
-            load: Gives the load of its endpoints over their capacity, None for unknown.
+            load: Returns the load of its endpoints relative to their capacity, None if unknown.
         """
         self._load = load
         self.running = 0
@@ -33,7 +33,7 @@
 
     @property
     def limit(self) -> float:
-        """Requests that may run at once."""
+        """Number of requests that may run concurrently."""
         return self._limit.value
 
     def record_arrival(self, key: Key, now: float) -> None:
@@ -43,8 +43,8 @@
     def has_room(self, key: Key) -> bool:
         """Return whether a request may run now.
 
-        With room to spare all may. Near the limit each priority and organisation may have what
-        the allotment gives it; those may then pass the limit a little while others drain.
+        Well below the limit all requests may. Near it, each priority and organisation is held to
+        its allotment; they may exceed the limit slightly while requests of others finish.
         """
         if self.running < self.limit * UNRESTRICTED_FRACTION:
             return True
@@ -53,7 +53,7 @@
         return self._allotment.has_room(key, self.limit, full=self.running >= self.limit)
 
     def expected_seconds(self, cost: float, now: float) -> float:
-        """Return how long a request of ``cost`` is likely to take."""
+        """Return the expected duration in seconds of a request with the given cost."""
         return self._latency.expected(cost, now)
 
     def record_start(self, key: Key) -> None:
@@ -63,12 +63,12 @@
         self._allotment.record_start(key)
 
     def first_byte(self, wait: float, now: float) -> None:
-        """Take the seconds that a request waited for the first byte of its answer."""
+        """Record how long a request waited for the first byte of its answer."""
         self._latency.record_wait(wait, now)
         self._limit.record_first_byte(wait, self.running, now, self._load)
 
     def record_failure(self, held: float, now: float) -> None:
-        """Take a request that ended without a first byte, after some seconds."""
+        """Record a request that ended without a first byte after ``held`` seconds."""
         self._limit.record_failure(held, self.running, now, self._load)
 
     def record_end(self, key: Key, held: float, streamed: float | None, cost: float) -> None:
@@ -77,7 +77,7 @@
         Args:
             key: Its priority and organisation.
             held: Seconds since it was admitted.
-            streamed: Seconds since its first byte, None where it was not answered whole.
+            streamed: Seconds since its first byte, None if the answer is not complete.
             cost: Its expected work.
         """
         self.running -= 1
--- a/carawayhub/limits/placement.py
+++ b/carawayhub/limits/placement.py
@@ -1,9 +1,10 @@
-"""Which entries divide an organisation's limits among them, and which its callers are sent to.
+"""Determines which entries divide an organisation's limits and which its callers are sent to.
 
-Few entries form one cell. Many form cells of about ``CELL_ENTRIES``, and each organisation has as
-many cells as its rate needs. Entries exchange demand within their cell only, so what an entry
-sends does not grow with the fleet, and a surge of one organisation meets a part of it. All of it
-follows from names and limits alone, so all processes agree without a message.
+A small fleet forms one cell. A larger one forms cells of about ``ENTRIES_PER_CELL`` entries, and
+each organisation gets as many cells as its rate requires. Entries exchange demand within their cell
+only, so the messages of an entry do not grow with the fleet, and a surge of one organisation
+affects only some of the entries. The result depends only on names and limits, so all processes
+agree without messages.
 """
 
 import math
@@ -20,11 +21,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """An entry's place in the division of one organisation's limits.
+    """An entry's position in the division of one organisation's limits.
 
     Attributes:
-        members: The entries that divide ``part`` among them.
-        part: Part of the limits, from 0 to 1.
+        members: The entries that divide ``part`` among themselves.
+        part: Fraction of the limits, from 0 to 1.
     """
 
     members: frozenset[str]
@@ -32,10 +33,10 @@
 
 
 class Cells:
-    """The entries of a fleet, sorted into cells.
+    """Assigns the entries of a fleet to cells.
 
     Attributes:
-        entries: All of them.
+        entries: All entries.
         count: Number of cells.
     """
 
@@ -56,16 +57,16 @@
         return self._members[self._cell_of[entry]] - {entry}
 
     def entries_for(self, organisation: str, rate: float) -> frozenset[str]:
-        """Return the entries that an organisation's callers are best sent to."""
+        """Return the preferred entries for an organisation's callers."""
         cells = self._cells_for(organisation, rate)
         return frozenset().union(*(self._members[cell] for cell in cells))
 
     def placement(self, entry: str, organisation: str, rate: float) -> Placement:
-        """Return an entry's place in the division of an organisation's limits.
+        """Return an entry's placement in the division of an organisation's limits.
 
-        An organisation with several cells has its limits divided among them by their sizes. An
-        entry outside has a small fixed part to itself: a caller that did not name itself may come
-        to any entry, which must not refuse it outright.
+        The limits of an organisation with several cells are divided in proportion to cell size. An
+        entry outside these cells has a small fixed share of its own: a caller that did not identify
+        itself may reach any entry, which must not reject it outright.
         """
         cells = self._cells_for(organisation, rate)
         inside = sum(len(self._members[cell]) for cell in cells)
@@ -78,7 +79,7 @@
         return Placement(members, part * len(members) / inside)
 
     def _find_cell(self, entry: str) -> int:
-        """Return an entry's cell; of a larger fleet only what fills a new cell moves."""
+        """Return an entry's cell; if a cell is added, only the entries that fill it move."""
         seed = name_seed(entry)
         return max(range(self.count), key=lambda cell: rendezvous_rank(f"cell-{cell}", seed))
 
--- a/carawayhub/limits/query.py
+++ b/carawayhub/limits/query.py
@@ -1,4 +1,4 @@
-"""What admission is asked and what it gives."""
+"""Input and result of admission control."""
 
 import math
 from dataclasses import dataclass
@@ -8,15 +8,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AdmitQuery:
-    """A request as far as admission needs to know it.
+    """The properties of a request that admission control needs.
 
     Attributes:
-        organisation: Whose request it is.
-        target: What the request is for.
-        priority: 0 is served first, 9 is shed first.
-        deadline: Reading of the clock after which the answer is of no use.
-        cost: Expected work, 1.0 for an ordinary request; the unit is the caller's, for example
-            expected tokens over the usual number.
+        organisation: Organisation that sent the request.
+        target: Target of the request.
+        priority: From 0, served first, to 9, shed first.
+        deadline: Timestamp after which the answer is useless.
+        cost: Expected work, 1.0 for an ordinary request; the unit is up to the calling code, for
+            example expected tokens relative to the usual number.
     """
 
     organisation: str
@@ -27,13 +27,13 @@
 
 
 class Admitted:
-    """A request that was admitted; to be given back to ``Admission.release``.
+    """An admitted request, which must be passed to ``Admission.release`` when it ends.
 
     Attributes:
         query: The request.
-        at: Reading of the clock when it was admitted.
-        first_byte_at: Reading of the clock at the first byte of its answer, None before.
-        released: Whether it was given back.
+        at: Timestamp of its admission.
+        first_byte_at: Timestamp of the first byte of its answer, None before that.
+        released: Whether it was released.
     """
 
     __slots__ = ("at", "first_byte_at", "query", "released")
--- a/carawayhub/limits/retries.py
+++ b/carawayhub/limits/retries.py
@@ -1,4 +1,4 @@
-"""A budget for the retries that the system makes on an organisation's behalf."""
+"""Budget for the retries that are made on behalf of an organisation."""
 
 import random
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 
 class RetryVerdict(Enum):
-    """Whether an attempt may be repeated, and if not, why."""
+    """Whether an attempt may be retried, and if not, why."""
 
     ALLOWED = "allowed"
     MAY_NOT_REPEAT = "may_not_repeat"
@@ -28,15 +28,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RetryQuery:
-    """An attempt that failed.
+    """A failed attempt.
 
     Attributes:
-        organisation: Whose request it is.
-        outcome: What is known of the attempt.
+        organisation: Organisation that sent the request.
+        outcome: Known outcome of the attempt.
         repeatable: Whether the request may run more than once.
         attempts: Attempts made so far, 1 after the first.
-        deadline: Reading of the clock after which the answer is of no use.
-        answer_begun: Whether the caller has been sent a part of the answer.
+        deadline: Timestamp after which the answer is useless.
+        answer_started: Whether part of the answer has been sent to the caller.
     """
 
     organisation: str
@@ -49,11 +49,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryDecision:
-    """What to do after an attempt that failed.
+    """What to do after a failed attempt.
 
     Attributes:
-        verdict: Whether it may be repeated.
-        at: Reading of the clock at which to begin the next attempt; now where it may not.
+        verdict: Whether it may be retried.
+        at: Timestamp at which to start the next attempt; the current time if it may not be retried.
     """
 
     verdict: RetryVerdict
@@ -61,18 +61,17 @@
 
     @property
     def allowed(self) -> bool:
-        """Whether it may be repeated."""
+        """Whether the attempt may be retried."""
         return self.verdict is RetryVerdict.ALLOWED
 
 
 class RetryBudget:
-    """Keeps retries to a fraction of each organisation's requests.
+    """Limits retries to a fraction of each organisation's requests.
 
-    Guards against a retry storm: at the moment when endpoints fail or slow down, every failed
-    request would be sent again, the load would rise with the failures and hold the system down
-    after their cause is gone. Each request earns ``retry_share`` of a retry and each retry spends
-    a whole one, so the work added is at most that fraction, plus ``FIRST_TOKENS`` once and
-    ``DEPTH`` saved up.
+    Prevents retry storms: when endpoints fail or slow down, every failed request would be sent
+    again, so the load would rise with the failures and keep the system overloaded after their cause
+    is gone. Each request earns ``retry_share`` tokens and each retry spends one, so the added work
+    is at most that fraction, plus ``INITIAL_TOKENS`` once and up to ``BUDGET_DEPTH`` saved tokens.
     """
 
     __slots__ = ("_budgets", "_cfg", "_clock", "_rng")
@@ -84,14 +83,14 @@
         self._budgets: dict[str, TokenBucket] = {}
 
     def configure(self, cfg: Configuration) -> None:
-        """Take a configuration into force; budgets of organisations that stay are kept."""
+        """Apply a configuration; organisations that remain keep their budgets."""
         self._cfg = cfg
         self._budgets = {
             name: self._budgets.get(name) or self._new_budget() for name in cfg.organisations
         }
 
     def record_request(self, organisation: str) -> None:
-        """Note a request, not an attempt, which earns its fraction of a retry."""
+        """Add the tokens that a request earns; call once per request, not per attempt."""
         budget = self._budgets.get(organisation)
         if budget is None or self._cfg is None:
             return
@@ -99,7 +98,7 @@
         budget.add(share, self._clock.monotonic())
 
     def decide(self, query: RetryQuery) -> RetryDecision:
-        """Say whether a failed attempt may be repeated and spend from the budget if so."""
+        """Decide whether a failed attempt may be retried, and if so spend a token."""
         now = self._clock.monotonic()
         if query.answer_started or not (query.repeatable or query.outcome is Outcome.NOT_RUN):
             return RetryDecision(RetryVerdict.MAY_NOT_REPEAT, now)
--- a/carawayhub/limits/split.py
+++ b/carawayhub/limits/split.py
@@ -1,4 +1,4 @@
-"""One entry's part of one limit of one organisation."""
+"""One entry's share of one limit of one organisation."""
 
 from collections import deque
 from collections.abc import Iterable, Mapping
@@ -12,13 +12,13 @@
 
 @dataclass(slots=True)
 class PeerPart:
-    """What another entry said of its part of a limit.
+    """Another entry's announced share of a limit.
 
     Attributes:
-        wanted: How much its callers ask for.
-        claimed: How much it holds.
-        fresh: Whether it was heard within the last few ticks.
-        settled: Whether it has been silent for so long that it is counted with an even part.
+        wanted: Demand of its callers.
+        claimed: Amount that it claims.
+        fresh: Whether an announcement was received within the last few ticks.
+        settled: Whether it has been silent for so long that an even share is assumed.
     """
 
     wanted: float
@@ -30,24 +30,25 @@
 class Split:
     """Divides one limit by claims that each entry announces.
 
-    Each entry may use what it claims. All work out the same division of the limit from the wants
-    and claims last heard. An entry above its part lowers its claim at once; one below raises its
-    claim only out of what no entry holds, in proportion with the others that are below. A want
-    counts from the tick after it was announced, when the others have heard it too.
+    Each entry may use what it claims. All entries compute the same division of the limit from the
+    demand and claims last received. An entry above its target lowers its claim at once; an entry
+    below raises its claim only from what no entry claims, in proportion with the others that are
+    below. Demand counts from the tick after its announcement, when the others have received it.
 
-    Guards against a partition: both sides keep running and neither hears the other. A silent
-    entry keeps what it last claimed, and at least an even part, reserved; so each side raises only
-    what the other side would not raise too, and the claims of all sides together stay within the
-    limit. After the reservation time all fall back to even parts by count of entries.
+    In a network partition both sides keep running and neither receives the other's messages. What
+    a silent entry last claimed, and at least an even share, stays reserved; each side therefore
+    claims only what the other side would not claim as well, and the claims of all sides together
+    stay within the limit. After the reservation time all fall back to even shares by the number of
+    entries.
 
-    A partition is noticed only some ticks after it began, and a claim that rose in between rose
-    without the other side's knowledge. Such rises are undone when an entry falls silent, so the
-    sum passes the limit for those few ticks at most, and by no more than what was free before.
+    A partition is detected only some ticks after it began, and the other side does not know of
+    claims that were raised in between. Such increases are undone when an entry falls silent, so the
+    sum exceeds the limit for those few ticks at most, and by no more than what was free before.
 
     Attributes:
         total: The limit that is divided.
-        claimed: What this entry holds.
-        announced: The want that the others were told.
+        claimed: What this entry claims.
+        announced: The demand that was announced to the others.
     """
 
     __slots__ = ("_recent", "_silent", "announced", "claimed", "total")
@@ -60,12 +61,12 @@
         self._silent: frozenset[str] = frozenset()
 
     def tick(self, peers: Mapping[str, PeerPart], wanted: float, in_use: float) -> None:
-        """Move the claim towards this entry's part.
+        """Move the claim towards this entry's target.
 
         Args:
             peers: Every other entry that shares the limit.
-            wanted: What this entry's callers ask for now.
-            in_use: What cannot be given back now, such as requests in flight.
+            wanted: Present demand of this entry's callers.
+            in_use: Amount that cannot be released now, such as requests in flight.
         """
         fresh = {name: peer for name, peer in peers.items() if peer.fresh}
         self._undo_unseen_increases(frozenset(peers) - frozenset(fresh))
@@ -80,7 +81,7 @@
         self.announced = wanted
 
     def _undo_unseen_increases(self, silent: frozenset[str]) -> None:
-        """Undo rises that an entry which has just fallen silent may not have heard of."""
+        """Undo increases that an entry may not have received before it fell silent."""
         if silent - self._silent:
             self.claimed = min(self.claimed, *self._recent)
         self._silent = silent
@@ -88,7 +89,7 @@
     def _targets(
         self, fresh: Mapping[str, PeerPart], silent: Iterable[PeerPart], members: int
     ) -> dict[str | None, float]:
-        """Divide what the silent entries leave; the key None is this entry."""
+        """Divide what silent entries leave available; the key None stands for this entry."""
         even = self.total / members
         held = sum(even if peer.settled else peer.claimed for peer in silent)
         reserved = sum(_reserved(peer, even) for peer in silent)
@@ -107,7 +108,7 @@
         targets: Mapping[str | None, float],
         members: int,
     ) -> float:
-        """Return by how much the claim may rise now."""
+        """Return the amount by which the claim may be raised now."""
         even = self.total / members
         free = self.total - self.claimed - sum(peer.claimed for peer in fresh.values())
         free -= sum(_reserved(peer, even) for peer in silent)
