--- a/tests/test_limits_admission.py
+++ b/tests/test_limits_admission.py
@@ -1,4 +1,4 @@
-"""Admission: rates, deadlines and retry budgets at one entry."""
+"""Tests of admission control at one entry: rates, deadlines and retry budgets."""
 
 import random
 import unittest
@@ -14,7 +14,7 @@
 
 
 class AdmissionCase(unittest.TestCase):
-    """One entry alone, so that it holds the whole of each limit."""
+    """A single entry, which therefore holds all of each limit."""
 
     LIMITS = Limits(rate=10.0, burst=5.0, concurrency=3)
 
@@ -26,18 +26,18 @@
         self.clock.advance(5.0)
 
     def query(self, **changes: object) -> AdmitQuery:
-        """Return a query of the one organisation."""
+        """Return a query of the organisation."""
         return AdmitQuery(organisation="org", target=MODEL_TARGET, **changes)  # type: ignore[arg-type]
 
     def refusal(self, **changes: object) -> RequestError:
-        """Return the error that refuses a query."""
+        """Return the error that rejects a query."""
         with self.assertRaises(RequestError) as caught:
             self.admission.admit(self.query(**changes))
         return caught.exception
 
 
 class LimitsOfOneEntry(AdmissionCase):
-    """What is refused, with which code and hint."""
+    """Which requests are rejected, with which code and ``retry_after``."""
 
     def test_burst_then_rate(self) -> None:
         for _ in range(5):
@@ -70,7 +70,7 @@
 
 
 class Deadlines(AdmissionCase):
-    """Deadlines that the present load cannot meet."""
+    """Deadlines that cannot be met under the current load."""
 
     LIMITS = Limits(rate=1000.0, burst=1000.0, concurrency=1000)
 
@@ -87,19 +87,19 @@
         self.admission.admit(self.query(deadline=deadline, cost=0.2))
 
     def test_a_generous_bound_on_tokens_is_no_reason_to_refuse(self) -> None:
-        """A caller that allows 64 times the usual tokens is refused at an idle system.
+        """Guards against rejecting a caller that allows 64 times the usual tokens when idle.
 
-        Few answers reach such a bound. If its expected time were taken from it, every such request
-        would be refused, and no answer would ever show how long they really take.
+        Few answers reach such a bound. If the expected duration were derived from it, every such
+        request would be rejected, and no answer would ever show the real duration.
         """
         self._answers_take(0.1, streamed=1.0)
         self.admission.admit(self.query(deadline=self.clock.monotonic() + 5.0, cost=64.0))
 
     def test_refusing_by_an_old_estimate_ends(self) -> None:
-        """All requests are refused for good after one slow minute.
+        """Guards against rejecting all requests permanently after one slow minute.
 
-        The estimate of the wait rose in an incident. As every request is refused, nothing is
-        measured that could bring it down again.
+        An incident raises the estimated wait. As every request is then rejected, no new measurement
+        can lower the estimate.
         """
         self._answers_take(4.0)
         self.assertEqual(
@@ -118,7 +118,7 @@
 
 
 class Retries(unittest.TestCase):
-    """What may be tried again, and how often."""
+    """Which attempts may be retried, and how often."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(1000.0)
@@ -148,7 +148,10 @@
         self.assertEqual(self.decide(deadline=passed), RetryVerdict.DEADLINE)
 
     def test_retries_stay_a_fraction_of_requests(self) -> None:
-        """Endpoints fail, every request is sent four times, and the load keeps them failing."""
+        """Guards against retry storms.
+
+        Endpoints fail, every request is sent four times, and the load keeps the endpoints failing.
+        """
         retries = 0
         for _ in range(1000):
             self.budget.record_request("org")
--- a/tests/test_limits_shares.py
+++ b/tests/test_limits_shares.py
@@ -1,4 +1,4 @@
-"""Division of an organisation's limits over entries that share no state."""
+"""Tests of the division of an organisation's limits among entries without shared state."""
 
 import random
 import unittest
@@ -23,7 +23,7 @@
 
 
 class ShareWorld:
-    """Entries that tick together and hear each other unless a partition keeps them apart."""
+    """Entries that tick together and exchange announcements unless a partition separates them."""
 
     def __init__(self, size: int) -> None:
         self.clock = ManualClock(1000.0)
@@ -31,43 +31,45 @@
         self.cfg = fake_configuration(1, size, {"org": limits})
         self.names = sorted(self.cfg.entries)
         self.side: frozenset[str] = frozenset()
-        self.shares = {name: self._fresh(name) for name in self.names}
+        self.shares = {name: self._new_shares(name) for name in self.names}
         self.incarnations = dict.fromkeys(self.names, 1)
 
     def replace(self, name: str) -> None:
         """Start a new process under the name of an entry."""
-        self.shares[name] = self._fresh(name)
+        self.shares[name] = self._new_shares(name)
         self.incarnations[name] += 1
 
-    def rounds(self, count: int, wants: list[float], silent: frozenset[str] = frozenset()) -> float:
-        """Let all tick; return the highest sum of claims seen."""
-        most = 0.0
+    def rounds(
+        self, count: int, demands: list[float], silent: frozenset[str] = frozenset()
+    ) -> float:
+        """Tick all entries; return the highest sum of claims."""
+        highest = 0.0
         for _ in range(count):
             rows = {
-                name: self.shares[name].tick({"org": Demand(want, want / 4, 0)})
-                for name, want in zip(self.names, wants, strict=True)
+                name: self.shares[name].tick({"org": Demand(rate_demand, rate_demand / 4, 0)})
+                for name, rate_demand in zip(self.names, demands, strict=True)
                 if name not in silent
             }
             self.clock.advance(TICK)
-            for one, said in rows.items():
+            for one, rows_sent in rows.items():
                 for other in rows:
                     if one != other and (one in self.side) == (other in self.side):
-                        self.shares[other].update_demand(one, self.incarnations[one], said)
-            most = max(most, sum(self.claims().values()))
-        return most
+                        self.shares[other].update_demand(one, self.incarnations[one], rows_sent)
+            highest = max(highest, sum(self.claims().values()))
+        return highest
 
     def claims(self) -> dict[str, float]:
-        """Return the rate that each entry holds."""
+        """Return the rate that each entry claims."""
         return {name: shares.allowance("org").rate for name, shares in self.shares.items()}
 
-    def _fresh(self, name: str) -> Shares:
+    def _new_shares(self, name: str) -> Shares:
         shares = Shares(self.clock, name)
         shares.configure(self.cfg)
         return shares
 
 
 class Division(unittest.TestCase):
-    """How a rate is divided while all hear each other."""
+    """Division of a rate while all entries are connected."""
 
     def test_parts_follow_demand_and_add_up(self) -> None:
         world = ShareWorld(4)
@@ -94,7 +96,7 @@
 
 
 class CellsOfALargeFleet(unittest.TestCase):
-    """Which entries divide a limit where there are many."""
+    """Assignment of entries to cells in a large fleet."""
 
     NAMES = [f"entry-{index}" for index in range(400)]
 
@@ -127,24 +129,24 @@
     """The bound on what all entries together may admit."""
 
     def test_a_partition_admits_no_more_than_the_limit(self) -> None:
-        """An organisation is served twice its limit while two regions cannot hear each other.
+        """Guards against admitting twice the limit while two regions are partitioned.
 
-        Both sides run on and ask for all of the limit. If each took the silent side for gone, it
-        would take the other's part as well.
+        Both sides keep running and demand all of the limit. If each assumed that the silent side is
+        gone, it would claim the other's share as well.
         """
         world = ShareWorld(6)
         world.rounds(10, [300.0, 0.0, 0.0, 0.0, 0.0, 0.0])
         world.side = frozenset(world.names[:3])
-        most = world.rounds(30, [300.0, 0.0, 0.0, 0.0, 0.0, 300.0])
-        self.assertLessEqual(most, RATE * 1.0001)
+        highest = world.rounds(30, [300.0, 0.0, 0.0, 0.0, 0.0, 300.0])
+        self.assertLessEqual(highest, RATE * 1.0001)
 
     def test_both_sides_have_their_part_after_the_reservation(self) -> None:
         world = ShareWorld(6)
         world.rounds(10, [300.0, 0.0, 0.0, 0.0, 0.0, 0.0])
         world.side = frozenset(world.names[:2])
         rounds = int(RESERVE_SECONDS / TICK) + 10
-        most = world.rounds(rounds, [300.0, 0.0, 0.0, 0.0, 0.0, 300.0])
-        self.assertLessEqual(most, RATE * 1.0001)
+        highest = world.rounds(rounds, [300.0, 0.0, 0.0, 0.0, 0.0, 300.0])
+        self.assertLessEqual(highest, RATE * 1.0001)
         claims = world.claims()
         self.assertAlmostEqual(sum(claims[n] for n in world.side), RATE / 3, delta=1.0)
         self.assertAlmostEqual(sum(claims.values()), RATE, delta=1.0)
@@ -153,8 +155,8 @@
         world = ShareWorld(4)
         world.rounds(10, [100.0] * 4)
         dead = world.names[3]
-        most = world.rounds(20, [100.0] * 4, silent=frozenset([dead]))
-        self.assertLessEqual(most, RATE * 1.0001)
+        highest = world.rounds(20, [100.0] * 4, silent=frozenset([dead]))
+        self.assertLessEqual(highest, RATE * 1.0001)
         for name in world.names[:3]:
             world.shares[name].configure(world.cfg, removed=[dead])
         world.rounds(6, [100.0] * 4, silent=frozenset([dead]))
@@ -162,26 +164,26 @@
         self.assertAlmostEqual(sum(claims[n] for n in world.names[:3]), RATE, delta=0.5)
 
     def test_a_replaced_entry_takes_nothing_before_it_has_heard_the_others(self) -> None:
-        """After a VM is replaced an organisation exceeds its limit for some seconds.
+        """Guards against exceeding a limit for some seconds after a VM is replaced.
 
-        The others hold the old entry's part or have taken it over. A new process that began with
-        an even part of its own would hold it a second time.
+        The others have reserved the old entry's share or claimed it. A new process that started
+        with an even share of its own would claim it a second time.
         """
         world = ShareWorld(4)
         world.rounds(10, [200.0, 200.0, 200.0, 200.0])
         world.replace(world.names[0])
         self.assertEqual(world.claims()[world.names[0]], 0.0)
         self.assertFalse(world.shares[world.names[0]].started)
-        most = world.rounds(12, [200.0, 200.0, 200.0, 200.0])
-        self.assertLessEqual(most, RATE * 1.0001)
+        highest = world.rounds(12, [200.0, 200.0, 200.0, 200.0])
+        self.assertLessEqual(highest, RATE * 1.0001)
         self.assertAlmostEqual(world.claims()[world.names[0]], RATE / 4, delta=0.5)
         self.assertTrue(world.shares[world.names[0]].started)
 
     def test_an_entry_has_not_started_before_it_holds_a_part(self) -> None:
-        """A fleet starts, and the first callers are refused although nobody has used anything.
+        """Guards against rejecting the first callers of a starting fleet.
 
-        An entry that called itself ready as soon as it had heard the others would refuse all but
-        single requests until its next tick, half a second later.
+        An entry that reported itself ready as soon as it had received all announcements would
+        reject all but single requests until its next tick, half a second later.
         """
         world = ShareWorld(2)
         first, second = world.names
@@ -208,37 +210,37 @@
     def test_claims_pass_the_limit_only_until_silence_is_noticed(
         self, size: int, steps: list[tuple[list[float], int, int]]
     ) -> None:
-        """Wants shift, partitions come and go, and entries are replaced, in any order.
+        """Demand shifts, partitions start and end, and entries are replaced, in any order.
 
-        In the ticks before a partition is noticed both sides may take what was free. An entry that
-        starts during one may take an even part without knowing what the other side holds. In all
-        other cases the claims stay within the limit.
+        In the ticks before a partition is detected both sides may claim what was free. An entry
+        that starts during a partition may claim an even share without knowing the other side's
+        claims. In all other cases the claims stay within the limit.
         """
         world = ShareWorld(size)
         started: set[int] = set()
-        for wants, count, event in steps:
+        for demands, count, event in steps:
             if event == 1:
                 world.side = frozenset() if world.side else frozenset(world.names[: size // 2])
                 self.assertLessEqual(
-                    world.rounds(SILENCE_DETECTION_TICKS, wants[:size]), RATE * 2.0001
+                    world.rounds(SILENCE_DETECTION_TICKS, demands[:size]), RATE * 2.0001
                 )
                 started.clear()
             if event == 2:
-                index = int(wants[0]) % size
+                index = int(demands[0]) % size
                 world.replace(world.names[index])
                 if world.side:
                     started.add(index)
             bound = RATE * (1.0001 + len(started) / size)
-            self.assertLessEqual(world.rounds(count, wants[:size]), bound)
+            self.assertLessEqual(world.rounds(count, demands[:size]), bound)
 
 
 class Concurrency(unittest.TestCase):
     """A concurrency limit that is smaller than the number of entries."""
 
     def test_entries_with_a_part_below_one_share_the_slots(self) -> None:
-        """A small organisation is refused although nothing of it runs anywhere.
+        """Guards against rejecting a small organisation that has no requests running.
 
-        Its two slots over four entries give half a slot to each.
+        Its two slots divided among four entries give half a slot to each.
         """
         clock = ManualClock(1000.0)
         limits = Limits(rate=1000.0, burst=1000.0, concurrency=2)
@@ -255,8 +257,8 @@
                 rows = [one.tick() for one in entries]
                 clock.advance(TICK)
                 for one in entries:
-                    for name, said in zip(names, rows, strict=True):
-                        one.update_demand(name, 1, said)
+                    for name, rows_sent in zip(names, rows, strict=True):
+                        one.update_demand(name, 1, rows_sent)
             try:
                 entry.admit(query)
                 admitted += 1
--- a/tests/test_poison_records.py
+++ b/tests/test_poison_records.py
@@ -1,4 +1,4 @@
-"""Which requests are refused for what ended under them, and how records of entries are joined."""
+"""Tests of the detection of poison requests and of merging and announcing their records."""
 
 import itertools
 import random
@@ -32,11 +32,11 @@
     return number.to_bytes(FINGERPRINT_BYTES, "big")
 
 
-SPOILT, BESIDE = name(1), name(2)
+POISON, BYSTANDER = name(1), name(2)
 
 
 class Fingerprints(unittest.TestCase):
-    """What makes two requests the same."""
+    """Which requests have the same fingerprint."""
 
     def test_each_part_counts_and_none_runs_into_the_next(self) -> None:
         parts = ("armor", "POST", "caraway.example", b"/songs/1", b"tempo")
@@ -54,96 +54,99 @@
 
 
 class Judged(unittest.TestCase):
-    """One entry's records."""
+    """Decisions from one entry's records."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(1000.0)
         self.records = PoisonRecords(self.clock)
 
     def test_three_ends_make_a_request_refused_and_two_do_not(self) -> None:
-        told = []
-        self.records.on_poison = told.append
+        rejected = []
+        self.records.on_poison = rejected.append
         for endpoint in (7, 8, 8, 7):
-            self.records.record_end(SPOILT, endpoint)
-        self.assertFalse(self.records.is_poison(SPOILT))
-        self.records.record_end(SPOILT, 9)
-        self.assertTrue(self.records.is_poison(SPOILT))
-        self.assertEqual(told, [SPOILT])
+            self.records.record_end(POISON, endpoint)
+        self.assertFalse(self.records.is_poison(POISON))
+        self.records.record_end(POISON, 9)
+        self.assertTrue(self.records.is_poison(POISON))
+        self.assertEqual(rejected, [POISON])
 
     def test_endpoint_that_starts_again_under_its_id_counts_each_time(self) -> None:
-        """The last replica of a service ended every few seconds, and it counted as one end."""
+        """Guards against counting the ends of a service's last replica as one.
+
+        It restarts under the same id and ends again every few seconds.
+        """
         for _ in range(3):
-            self.records.record_end(SPOILT, 7)
+            self.records.record_end(POISON, 7)
             self.clock.advance(0.4)
-            self.records.record_end(SPOILT, 7)
+            self.records.record_end(POISON, 7)
             self.clock.advance(4.0)
-        self.assertEqual(self.records.ends(SPOILT), 3)
-        self.assertTrue(self.records.is_poison(SPOILT))
+        self.assertEqual(self.records.ends(POISON), 3)
+        self.assertTrue(self.records.is_poison(POISON))
 
     def test_request_beside_it_twice_and_at_a_third_end_by_chance_is_not_refused(self) -> None:
         for endpoint in (1, 2, 3, 4):
-            self.records.record_end(SPOILT, endpoint)
+            self.records.record_end(POISON, endpoint)
         for endpoint in (1, 2, 9):
-            self.records.record_end(BESIDE, endpoint)
-        self.assertEqual(self.records.poison, {SPOILT})
+            self.records.record_end(BYSTANDER, endpoint)
+        self.assertEqual(self.records.poison, {POISON})
 
     def test_two_that_were_always_together_are_let_go_until_an_end_parts_them(self) -> None:
         for endpoint in (1, 2, 3):
-            self.records.record_end(SPOILT, endpoint)
-            self.records.record_end(BESIDE, endpoint)
+            self.records.record_end(POISON, endpoint)
+            self.records.record_end(BYSTANDER, endpoint)
         self.assertEqual(self.records.poison, frozenset())
-        self.records.record_end(SPOILT, 4)
-        self.assertEqual(self.records.poison, {SPOILT})
+        self.records.record_end(POISON, 4)
+        self.assertEqual(self.records.poison, {POISON})
 
     def test_whole_answer_clears_and_ends_after_it_count_anew(self) -> None:
         for endpoint in (1, 2, 3):
-            self.records.record_end(SPOILT, endpoint)
-        self.records.record_answer(SPOILT)
-        self.assertEqual(self.records.ends(SPOILT), 0)
-        self.assertFalse(self.records.is_poison(SPOILT))
+            self.records.record_end(POISON, endpoint)
+        self.records.record_answer(POISON)
+        self.assertEqual(self.records.ends(POISON), 0)
+        self.assertFalse(self.records.is_poison(POISON))
         for endpoint in (4, 5, 6):
-            self.records.record_end(SPOILT, endpoint)
-        self.assertTrue(self.records.is_poison(SPOILT))
+            self.records.record_end(POISON, endpoint)
+        self.assertTrue(self.records.is_poison(POISON))
 
     def test_answer_to_a_request_that_nothing_is_held_against_leaves_no_record(self) -> None:
-        self.records.record_answer(SPOILT)
+        self.records.record_answer(POISON)
         self.assertEqual((len(self.records), self.records.number), (0, 0))
 
     def test_memory_is_bounded_and_what_is_refused_is_kept(self) -> None:
-        """A loss of power ends thousands of requests at once, none of which is to blame."""
+        """A power failure ends thousands of requests at once, none of which caused it."""
         for endpoint in (1, 2, 3):
-            self.records.record_end(SPOILT, endpoint)
+            self.records.record_end(POISON, endpoint)
         for number in range(10, 20_010):
             self.records.record_end(name(number), number % 192)
         self.assertEqual(len(self.records), MAX_RECORDS)
-        self.assertTrue(self.records.is_poison(SPOILT))
+        self.assertTrue(self.records.is_poison(POISON))
         for endpoint in range(100):
-            self.records.record_end(SPOILT, endpoint)
-        self.assertLessEqual(self.records.ends(SPOILT), MAX_ENDS)
+            self.records.record_end(POISON, endpoint)
+        self.assertLessEqual(self.records.ends(POISON), MAX_ENDS)
 
     def test_record_is_forgotten_after_a_time_and_one_that_is_asked_for_is_kept(self) -> None:
-        self.records.record_end(BESIDE, 1)
+        self.records.record_end(BYSTANDER, 1)
         for endpoint in (1, 2, 3):
-            self.records.record_end(SPOILT, endpoint)
+            self.records.record_end(POISON, endpoint)
         self.clock.advance(SUSPECT_SECONDS + 1.0)
         self.records.expire()
         self.assertEqual(len(self.records), 1)
         for _ in range(8):
             self.clock.advance(POISON_SECONDS * (RENEWAL_FRACTION + 0.1))
             self.records.expire()
-            self.assertTrue(self.records.is_poison(SPOILT))
-            self.records.record_repeat(SPOILT)
+            self.assertTrue(self.records.is_poison(POISON))
+            self.records.record_repeat(POISON)
         self.clock.advance(POISON_SECONDS + 1.0)
         self.records.expire()
-        self.assertFalse(self.records.is_poison(SPOILT))
+        self.assertFalse(self.records.is_poison(POISON))
         self.assertEqual(len(self.records), 0)
 
 
 class Joined(unittest.TestCase):
-    """Records of several entries."""
+    """Merging the records of several entries."""
 
     def test_result_is_the_same_in_any_order_with_losses_made_up_for_and_doubles(self) -> None:
-        """Eight entries note ends and answers, and hand each other rows at random."""
+        """Eight entries record ends and answers, and send each other random subsets of rows."""
         for seed in range(60):
             rng = random.Random(seed)
             clock = ManualClock(5.0)
@@ -154,12 +157,12 @@
                     entry.record_answer(name(rng.randrange(6)))
                 else:
                     entry.record_end(name(rng.randrange(6)), rng.randrange(12))
-                teller, hearer = rng.sample(entries, 2)
-                rows = teller.after(0, 99).rows
-                hearer.merge(rng.sample(rows, rng.randint(0, len(rows))))
+                sender, receiver = rng.sample(entries, 2)
+                rows = sender.after(0, 99).rows
+                receiver.merge(rng.sample(rows, rng.randint(0, len(rows))))
             for _ in range(3):
-                for teller, hearer in itertools.permutations(entries, 2):
-                    hearer.merge(teller.after(0, 99).rows)
+                for sender, receiver in itertools.permutations(entries, 2):
+                    receiver.merge(sender.after(0, 99).rows)
             found = {
                 tuple(sorted((r.fingerprint, r.series, tuple(r.ends)) for r in e.after(0, 99).rows))
                 for e in entries
@@ -170,15 +173,15 @@
         clock = ManualClock(5.0)
         first, second = PoisonRecords(clock), PoisonRecords(clock)
         for endpoint in (1, 2, 3):
-            first.record_end(SPOILT, endpoint)
+            first.record_end(POISON, endpoint)
         old = first.after(0, 9).rows
         second.merge(old)
-        first.record_answer(SPOILT)
+        first.record_answer(POISON)
         second.merge(first.after(0, 9).rows)
         second.merge(old)
-        self.assertFalse(second.is_poison(SPOILT))
+        self.assertFalse(second.is_poison(POISON))
         third = PoisonRecords(clock)
-        third.merge([EndsRow(SPOILT, 0, [1, 2, 3], POISON_SECONDS + 1.0)])
+        third.merge([EndsRow(POISON, 0, [1, 2, 3], POISON_SECONDS + 1.0)])
         self.assertEqual(len(third), 0)
 
     def test_rows_that_make_no_sense_are_passed_over(self) -> None:
@@ -186,11 +189,11 @@
         records.merge(
             [
                 EndsRow(b"short", 0, [1, 2, 3], 0.0),
-                EndsRow(SPOILT, -1, [1, 2, 3], 0.0),
-                EndsRow(SPOILT, 0, list(range(99)), 0.0),
-                EndsRow(SPOILT, 0, [1, 2, 3], -5.0),
-                EndsRow(SPOILT, 0, [1, 2, 3], float("nan")),
-                EndsRow(SPOILT, 0, [1, 2, 3], float("inf")),
+                EndsRow(POISON, -1, [1, 2, 3], 0.0),
+                EndsRow(POISON, 0, list(range(99)), 0.0),
+                EndsRow(POISON, 0, [1, 2, 3], -5.0),
+                EndsRow(POISON, 0, [1, 2, 3], float("nan")),
+                EndsRow(POISON, 0, [1, 2, 3], float("inf")),
             ]
         )
         self.assertEqual(len(records), 0)
@@ -199,20 +202,20 @@
         clock = ManualClock(5.0)
         first, second = PoisonRecords(clock), PoisonRecords(clock)
         for endpoint in (1, 2, 3):
-            first.record_end(SPOILT, endpoint)
+            first.record_end(POISON, endpoint)
         known = 0
         for _ in range(8):
             changes = first.after(known, 9)
             known = changes.number
             second.merge(changes.rows)
             clock.advance(POISON_SECONDS * 0.3)
-            first.record_repeat(SPOILT)
+            first.record_repeat(POISON)
             second.expire()
-            self.assertTrue(second.is_poison(SPOILT))
+            self.assertTrue(second.is_poison(POISON))
 
 
 class Told(unittest.TestCase):
-    """Who is told which records."""
+    """Which records are announced to which peer."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(5.0)
@@ -220,12 +223,12 @@
         self.news = PoisonUpdates(self.records)
 
     def test_what_was_lost_is_told_again_and_what_was_heard_is_not(self) -> None:
-        self.records.record_end(SPOILT, 1)
+        self.records.record_end(POISON, 1)
         self.assertEqual(len(self.news.rows_for("b", "run", 1)), 1)
         self.assertEqual(len(self.news.rows_for("b", "run", 2)), 1)
         self.news.acknowledge("b", "run", 2)
         self.assertEqual(self.news.rows_for("b", "run", 3), [])
-        self.records.record_end(SPOILT, 2)
+        self.records.record_end(POISON, 2)
         self.assertEqual(len(self.news.rows_for("b", "run", 4)), 1)
 
     def test_peer_that_heard_only_a_later_datagram_is_told_what_that_one_lacked(self) -> None:
@@ -239,7 +242,7 @@
         self.assertEqual(len(self.news.rows_for("b", "run", 4)), 5)
 
     def test_peer_that_starts_anew_is_told_all(self) -> None:
-        self.records.record_end(SPOILT, 1)
+        self.records.record_end(POISON, 1)
         self.news.rows_for("b", "run", 1)
         self.news.acknowledge("b", "run", 1)
         self.assertEqual(len(self.news.rows_for("b", "next run", 2)), 1)
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -1,9 +1,9 @@
-"""Replicas in need that name the requests a second which they take from all entries together.
+"""Tests of fleet-wide rate limits that replicas announce in their answers.
 
-A replica that is short of memory says ``Server-Limit: 3`` in its answers. Each entry sees its own
-answers and its own requests only. Entries that read the header and kept to it each by itself would
-send seven times what it says; entries that do not know the header send what they always sent: in a
-fleet of seven, with 20 requests a second for three replicas, 6.7 a second went to each.
+A replica that is short of memory sends ``Server-Limit: 3`` in its answers. Each entry sees only its
+own answers and requests. In a fleet of seven, entries that each applied the limit independently
+would send seven times as much; entries that ignore the header do not reduce their rate: with 20
+requests per second for three replicas, each replica receives 6.7 per second.
 """
 
 import random
@@ -42,21 +42,21 @@
 
 
 def arrivals(fleet: RequestFleet) -> list[Arrival]:
-    """Return what reached replicas."""
+    """Return the requests that reached replicas."""
     return [Arrival(each.at, each.entry, each.replica, each.in_touch) for each in fleet.sent]
 
 
 class Limited(unittest.TestCase):
-    """One of three replicas, or all of them, name a limit."""
+    """One or all of three replicas announce a limit."""
 
     def play(self, limited: int, rate: float = RATE, seconds: float = 24.0) -> RequestFleet:
-        """Let 20 requests a second come to seven entries; replicas name a limit after ten seconds.
+        """Send 20 requests per second to seven entries; limits are announced after ten seconds.
 
-        Entries know by then how much is asked of them.
+        By then the entries have measured their demand.
         """
         fleet = RequestFleet(entries=7, ranks=3, places=60, events=3)
 
-        async def story() -> None:
+        async def scenario() -> None:
             for at in range(int(20 * seconds)):
                 if at == 200:
                     for each in list(fleet.by_host.values())[:limited]:
@@ -65,7 +65,7 @@
                 await anyio.sleep(0.05)
             await anyio.sleep(1.0)
 
-        fleet.play(story)
+        fleet.play(scenario)
         self.assertEqual(fleet.limits.exceeded(arrivals(fleet)), [])
         return fleet
 
@@ -74,7 +74,7 @@
         self.assertGreater(sum(each.served for each in fleet.told), 0.97 * len(fleet.told))
 
     def test_limited_replicas_refuse_what_is_beyond_their_limits(self) -> None:
-        """All three take nine a second together; who gets no place is told at once."""
+        """All three accept nine per second together; other requests are rejected immediately."""
         fleet = self.play(limited=3)
         refused = [each for each in fleet.told if each.status == 503]
         at_once = sum(each.seconds < 0.1 for each in refused)
@@ -88,7 +88,7 @@
 
 
 class Histories(unittest.TestCase):
-    """Limits that change, entries that start anew and are cut off, datagrams that are lost."""
+    """Changing limits, entries that restart or are partitioned, and lost datagrams."""
 
     def test_no_window_exceeds_the_bound(self) -> None:
         for seed in range(1, 7):
@@ -96,7 +96,7 @@
                 self.assertEqual(play(drawn(7, seed)).exceeded, 0)
 
     def test_plain_services_and_limits_that_come_and_go_keep_to_the_bound(self) -> None:
-        """Plain services name limits too; some name another with each answer, or take it back."""
+        """Plain services announce limits too; some change or withdraw them with each answer."""
         for kind in (Kind.PLAIN, Kind.SWINGING, Kind.TAKEN_BACK):
             with self.subTest(kind=kind):
                 self.assertEqual(play(drawn(7, 2, kind)).exceeded, 0)
@@ -106,7 +106,7 @@
         self.assertGreaterEqual(found.used, 0.9)
 
     def test_large_fleet(self) -> None:
-        """Each of 98 entries has a request for a replica of three a second in five minutes."""
+        """Each of 98 entries has one request in five minutes for a replica of three per second."""
         found = play(History(entries=98, seed=1, limited=3))
         self.assertEqual(found.exceeded, 0)
         self.assertGreaterEqual(found.used, 0.7)
@@ -119,7 +119,7 @@
 
 
 class Wire(unittest.TestCase):
-    """What the header says."""
+    """Parsing of the header."""
 
     def read(self, *values: bytes) -> NamedLimit | UnreadableLimit | None:
         headers = [(b"Server-Limit", value) for value in values]
@@ -158,17 +158,17 @@
 
 
 class Knowing(unittest.TestCase):
-    """Which of several words on a limit holds."""
+    """Which of several reports about a limit is valid."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(100.0)
         self.rates = ReplicaRates(self.clock, random.Random(1), key)
 
     def test_an_answer_to_an_earlier_request_takes_no_limit_back(self) -> None:
-        """A replica in need gets all that comes for a moment, each time an old answer ends.
+        """Guards against briefly dropping a limit each time the answer to an old request arrives.
 
-        Its limit is known from a quick answer. A long stream that was asked for before ends its
-        wait for a first event then; its head was written before the replica was in need.
+        The limit is known from a fast answer. The first event of a stream that was requested
+        earlier arrives later, but its head was written before the replica ran short of memory.
         """
         self.rates.record_limit("1", 3.0, sent_at=99.9)
         self.rates.record_limit("1", None, sent_at=99.0)
@@ -186,9 +186,10 @@
         self.assertIsNone(self.rates.limit("1"))
 
     def test_datagrams_that_waited_bring_no_old_limit_back(self) -> None:
-        """An entry that was suspended reads ten seconds of datagrams in one moment.
+        """Guards against restoring an outdated limit from delayed datagrams.
 
-        Their ages speak of when they were written; each is dated by what it answers to.
+        An entry that was suspended reads ten seconds of datagrams at once. Their ages are relative
+        to when they were written, so each datagram is dated by the one that it answers.
         """
         self.rates.record_limit("1", 3.0, sent_at=99.9)
         self.clock.advance(10.0)
@@ -220,7 +221,7 @@
 
 
 class Deciding(unittest.TestCase):
-    """Whether one more request may go to a limited replica."""
+    """Whether another request may be sent to a limited replica."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(100.0)
@@ -228,7 +229,7 @@
         self.rates.record_limit("1", 3.0, sent_at=99.9)
 
     def send(self, count: int, estimate: FleetEstimate) -> int:
-        """Ask for some requests at once; return how many may go."""
+        """Try to send ``count`` requests at once; return how many were allowed."""
         sent = 0
         for _ in range(count):
             if self.rates.may_send("1", estimate):
@@ -249,7 +250,7 @@
         self.assertEqual(self.send(50, estimate), 1)
 
     def test_what_a_silent_entry_sent_counts_until_its_window_ends(self) -> None:
-        """An entry that falls silent may be cut off and alive; its sends reached the replica."""
+        """A silent entry may be partitioned but alive, and its requests reached the replica."""
         estimate = FleetEstimate(expected_arrivals=0.0, propagation_delay=0.1, part=1.0)
         self.rates.receive_rows("a", [RateRow(1, 3.0, 0.1, 6)], written_at=100.0)
         self.clock.advance(1.5)
@@ -264,7 +265,7 @@
         self.assertEqual(self.send(50, estimate), 1)
 
     def test_a_replica_that_takes_none_is_still_asked(self) -> None:
-        """It names no requests a second, and only an answer can say that it recovered."""
+        """A limit of zero can be raised only by an answer, so the replica must be probed."""
         self.clock.advance(1.0)
         self.rates.record_limit("1", 0.0, sent_at=100.9)
         estimate = FleetEstimate(expected_arrivals=0.0, propagation_delay=0.1, part=1.0)
@@ -274,10 +275,10 @@
 
 
 class Hearing(unittest.TestCase):
-    """The part of all entries that one hears of."""
+    """The fraction of all entries from which an entry receives updates."""
 
     def test_entries_that_fell_silent_count_while_few_are_heard(self) -> None:
-        """A cut-off entry takes itself for the only one, and a limit for its own alone."""
+        """Guards against a partitioned entry that assumes it is alone and uses a whole limit."""
         peers = Peers("10.0.0.1", "brest")
         for at in range(2, 11):
             peers.heard(peer_hello(f"10.0.0.{at}"), Phase.READY, 0.0, 1.0)
@@ -289,11 +290,11 @@
         self.assertEqual(peers.part_heard(50.0 + 100 * MISSED_SECONDS), 1 / 9)
 
     def test_entries_replaced_over_weeks_are_not_missed_for_good(self) -> None:
-        """A limit was used to a thirtieth, by entries that all heard each other.
+        """Guards against using only a thirtieth of a limit although all entries are connected.
 
-        An entry an hour fell silent and came back under another address. No replica named a limit
-        for a week, so nobody asked for the part and the silent ones piled up; once they were more
-        than those heard, none of them was forgotten any more.
+        If one entry per hour falls silent and is replaced under another address while no replica
+        has a limit for a week, the fraction is never computed and silent entries accumulate. Once
+        they outnumber the connected ones, none of them is dropped.
         """
         peers = Peers("10.0.0.1", "brest")
         for at in range(2, 8):
@@ -306,7 +307,7 @@
 
 
 class Bound(unittest.TestCase):
-    """The check of the plays."""
+    """The check that the simulations use."""
 
     def test_only_entries_that_know_count_and_only_once_it_holds(self) -> None:
         limits = NamedLimits()
@@ -324,7 +325,7 @@
 
 
 def peer_hello(ip: str) -> Hello:
-    """Return what an entry says of itself."""
+    """Return the announcement of an entry."""
     return Hello(
         ip=ip,
         incarnation="a",
