--- a/carawayhub/limits/latency.py
+++ b/carawayhub/limits/latency.py
@@ -7,17 +7,21 @@
 class LatencyEstimate:
     """Moving averages of the wait for the first byte and of the time per unit of work after it."""
 
-    __slots__ = ("_cost", "_per_cost", "_wait", "_waited_at")
+    __slots__ = ("_mean_cost", "_mean_wait", "_seconds_per_cost", "_waited_at")
 
     def __init__(self) -> None:
-        self._wait = 0.0
-        self._per_cost = 0.0
-        self._cost = 0.0
+        self._mean_wait = 0.0
+        self._seconds_per_cost = 0.0
+        self._mean_cost = 0.0
         self._waited_at = 0.0
 
     def record_wait(self, seconds: float, now: float) -> None:
         """Record one wait for a first byte."""
-        self._wait = seconds if self._wait <= 0.0 else self._wait + GAIN * (seconds - self._wait)
+        self._mean_wait = (
+            seconds
+            if self._mean_wait <= 0.0
+            else self._mean_wait + GAIN * (seconds - self._mean_wait)
+        )
         self._waited_at = now
 
     def record_stream(self, seconds: float, cost: float) -> None:
@@ -25,12 +29,12 @@
         if cost <= 0.0:
             return
         sample = seconds / cost
-        if self._cost <= 0.0:
-            self._per_cost = sample
-            self._cost = cost
+        if self._mean_cost <= 0.0:
+            self._seconds_per_cost = sample
+            self._mean_cost = cost
             return
-        self._per_cost += GAIN * (sample - self._per_cost)
-        self._cost += GAIN * (cost - self._cost)
+        self._seconds_per_cost += GAIN * (sample - self._seconds_per_cost)
+        self._mean_cost += GAIN * (cost - self._mean_cost)
 
     def expected(self, cost: float, now: float) -> float:
         """Return the expected duration in seconds of a request with the given cost.
@@ -44,4 +48,4 @@
         """
         idle = now - self._waited_at - STALE_AFTER_SECONDS
         factor = 0.5**idle if idle > 0.0 else 1.0
-        return (self._wait + self._per_cost * min(cost, self._cost)) * factor
+        return (self._mean_wait + self._seconds_per_cost * min(cost, self._mean_cost)) * factor
--- a/carawayhub/limits/poison.py
+++ b/carawayhub/limits/poison.py
@@ -123,12 +123,12 @@
         clock: Source of time.
     """
 
-    __slots__ = ("_answered", "_at", "_clock", "_ended")
+    __slots__ = ("_answered", "_clock", "_ended", "_updated_at")
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._answered = self._ended = 0.0
-        self._at = clock.monotonic()
+        self._updated_at = clock.monotonic()
 
     def record_answer(self) -> None:
         """Count a complete answer."""
@@ -156,10 +156,10 @@
 
     def _decay(self) -> None:
         now = self._clock.monotonic()
-        kept = 0.5 ** ((now - self._at) / RATE_HALF_LIFE_SECONDS)
+        kept = 0.5 ** ((now - self._updated_at) / RATE_HALF_LIFE_SECONDS)
         self._answered *= kept
         self._ended *= kept
-        self._at = now
+        self._updated_at = now
 
 
 class PoisonRecords:
@@ -241,20 +241,22 @@
         if now - known.changed_at > RENEWAL_FRACTION * POISON_SECONDS:
             self._store(fingerprint, known.series, known.ends, now)
 
-    def after(self, number: int, most: int) -> Changes:
+    def after(self, number: int, max_rows: int) -> Changes:
         """Return the records that changed after a given change, earliest first.
 
         Args:
             number: Number of the change.
-            most: Maximum number of rows.
+            max_rows: Maximum number of rows.
         """
         if number >= self.number:
             return Changes([], self.number)
         newer = [each for each in self._by_fingerprint.items() if each[1].number > number]
         newer.sort(key=lambda each: each[1].number)
         now = self._clock.monotonic()
-        rows = [_row(name, record, now) for name, record in newer[:most]]
-        return Changes(rows, newer[most - 1][1].number if len(newer) > most else self.number)
+        rows = [_row(name, record, now) for name, record in newer[:max_rows]]
+        return Changes(
+            rows, newer[max_rows - 1][1].number if len(newer) > max_rows else self.number
+        )
 
     def merge(self, rows: Iterable[EndsRow]) -> None:
         """Merge a peer's records, which may arrive late, repeatedly and in any order."""
--- a/carawayhub/limits/replicarate.py
+++ b/carawayhub/limits/replicarate.py
@@ -117,10 +117,10 @@
         "_clock",
         "_key_of",
         "_known_limits",
-        "_rng",
-        "_sends",
         "_limited_since",
         "_peer_sends",
+        "_rng",
+        "_sends",
         "_unreadable_keys",
     )
 
--- a/carawayhub/limits/shares.py
+++ b/carawayhub/limits/shares.py
@@ -7,7 +7,7 @@
 from carawayhub.clock import Clock
 from carawayhub.config.model import Configuration, Limits
 from carawayhub.limits.placement import Cells, Placement
-from carawayhub.limits.split import FRESH_TICKS, PeerPart, Split
+from carawayhub.limits.split import FRESH_TICKS, PeerShare, Split
 from carawayhub.peers.messages import OrganisationDemand
 
 RESERVE_SECONDS = 30.0
@@ -120,13 +120,13 @@
         now = self._clock.monotonic()
         self._interval = cfg.fleet.report_interval
         entries = frozenset(cfg.entries) - frozenset(removed) | {self._own}
-        moved = entries != self._cells.entries
-        if moved:
+        entries_changed = entries != self._cells.entries
+        if entries_changed:
             self._cells = Cells(entries)
         neighbours = self.neighbours()
         self._peers = {name: self._peers.get(name) or _Peer(now) for name in neighbours}
         self._organisations = {
-            name: self._organisation_split(name, organisation.limits, moved)
+            name: self._organisation_split(name, organisation.limits, entries_changed)
             for name, organisation in cfg.organisations.items()
         }
         self.divided = tuple(
@@ -191,10 +191,12 @@
         single = self._may_run_single(organisation, split)
         return Allowance(rate, _bucket_depth(split.limits, rate), slots, single)
 
-    def _organisation_split(self, name: str, limits: Limits, moved: bool) -> _OrganisationSplit:
+    def _organisation_split(
+        self, name: str, limits: Limits, entries_changed: bool
+    ) -> _OrganisationSplit:
         """Return the split of an organisation's limits, keeping claims within the new limits."""
         known = self._organisations.get(name)
-        if known is not None and known.limits == limits and not moved:
+        if known is not None and known.limits == limits and not entries_changed:
             return known
         placement = self._cells.placement(self._own, name, limits.rate)
         if known is not None and known.limits == limits and known.placement == placement:
@@ -216,8 +218,8 @@
             split.rate.announced = demand.rate
             split.slots.announced = demand.slots
             return
-        rates: dict[str, PeerPart] = {}
-        slots: dict[str, PeerPart] = {}
+        rates: dict[str, PeerShare] = {}
+        slots: dict[str, PeerShare] = {}
         for peer_name in peers:
             peer = self._peers[peer_name]
             row = peer.demand.get(name)
@@ -225,9 +227,9 @@
             fresh = peer.incarnation is not None and age < FRESH_TICKS * self._interval
             settled = age >= RESERVE_SECONDS
             rate, held = (row.rate, row.rate_claimed) if row is not None else (0.0, 0.0)
-            rates[peer_name] = PeerPart(rate, held, fresh, settled)
+            rates[peer_name] = PeerShare(rate, held, fresh, settled)
             wanted, held = (row.slots, row.slots_claimed) if row is not None else (0.0, 0.0)
-            slots[peer_name] = PeerPart(wanted, held, fresh, settled)
+            slots[peer_name] = PeerShare(wanted, held, fresh, settled)
         split.rate.tick(rates, demand.rate, 0.0)
         split.slots.tick(slots, demand.slots, demand.running)
 
--- a/carawayhub/limits/split.py
+++ b/carawayhub/limits/split.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class PeerPart:
+class PeerShare:
     """Another entry's announced share of a limit.
 
     Attributes:
@@ -60,7 +60,7 @@
         self._recent: deque[float] = deque([0.0], maxlen=SILENCE_DETECTION_TICKS)
         self._silent: frozenset[str] = frozenset()
 
-    def tick(self, peers: Mapping[str, PeerPart], wanted: float, in_use: float) -> None:
+    def tick(self, peers: Mapping[str, PeerShare], wanted: float, in_use: float) -> None:
         """Move the claim towards this entry's target.
 
         Args:
@@ -87,7 +87,7 @@
         self._silent = silent
 
     def _targets(
-        self, fresh: Mapping[str, PeerPart], silent: Iterable[PeerPart], members: int
+        self, fresh: Mapping[str, PeerShare], silent: Iterable[PeerShare], members: int
     ) -> dict[str | None, float]:
         """Divide what silent entries leave available; the key None stands for this entry."""
         even = self.total / members
@@ -103,8 +103,8 @@
 
     def _claim_increase(
         self,
-        fresh: Mapping[str, PeerPart],
-        silent: Iterable[PeerPart],
+        fresh: Mapping[str, PeerShare],
+        silent: Iterable[PeerShare],
         targets: Mapping[str | None, float],
         members: int,
     ) -> float:
@@ -119,5 +119,5 @@
         return min(missing, free * missing / (missing + others))
 
 
-def _reserved(peer: PeerPart, even: float) -> float:
+def _reserved(peer: PeerShare, even: float) -> float:
     return even if peer.settled else max(peer.claimed, even)
