--- a/carawayhub/gateway/process.py
+++ b/carawayhub/gateway/process.py
@@ -323,7 +323,7 @@
         """
         published = self._view.ids()
         self._health.forget(published)
-        self._records.forget_old()
+        self._records.expire()
         now = self._clock.monotonic()
         if now >= self._limit_cleanup_at:
             self._limit_cleanup_at = now + LIMIT_CLEANUP_SECONDS
