--- a/benchmarks/rebalance.py
+++ b/benchmarks/rebalance.py
@@ -34,7 +34,7 @@
 from benchmarks.rebalance_timing import timings
 from carawayhub.clock import ManualClock
 from carawayhub.config.model import ModelGroup
-from carawayhub.groups.decisions import Effort, PolicyOptions, Situation
+from carawayhub.groups.decisions import PolicyOptions, SearchBudget, Situation
 from carawayhub.groups.loads import rank_loads
 from carawayhub.groups.maps import ExpertMap, moved_bytes
 from carawayhub.groups.popularity import ExpertCounters
@@ -76,19 +76,19 @@
     """
     spacing = trace.interval * trace.decide_every
     part = size.layers / size.real_layers * max(1.0, spacing / DECISION_SECONDS)
-    whole = Effort()
-    effort = Effort(
+    whole = SearchBudget()
+    search_budget = SearchBudget(
         steps=round(whole.steps * part),
-        searches=min(size.layers, max(1, round(whole.searches * part))),
+        slow_searches=min(size.layers, max(1, round(whole.slow_searches * part))),
     )
-    return replace(PolicyOptions(effort=effort), **changes)
+    return replace(PolicyOptions(search_budget=search_budget), **changes)
 
 
 def strategies(size: Size, trace: Trace, clock: ManualClock) -> dict[str, Strategy]:
     """Return the strategies of the table by name."""
     skew_first, cost_first = group_of(size, SKEW_FIRST), group_of(size, COST_FIRST)
     options = options_of(size, trace)
-    untested = options_of(size, trace, certainty=0.0)
+    untested = options_of(size, trace, min_standard_errors=0.0)
     deviation = DeviationPopularity(layers=size.layers, experts=size.experts)
     return {
         "never": Never(),
--- a/benchmarks/rebalance_strategies.py
+++ b/benchmarks/rebalance_strategies.py
@@ -161,7 +161,7 @@
         if layer_skew(row, shares, self._group.ranks) <= self._point:
             return row
         best = row
-        for stage in LayerBalance(row, shares, self._group.ranks).stages(8):
+        for stage in LayerBalance(row, shares, self._group.ranks).improve(8):
             best = stage.row
             if stage.skew <= self._point:
                 break
@@ -179,8 +179,8 @@
     rows = []
     for layer in shares:
         row = recomputed_row(layer, ranks=ranks, slots=slots)
-        best = LayerBalance(row, layer, ranks).stage()
-        for stage in LayerBalance(row, layer, ranks).stages(POLISH_STEPS):
+        best = LayerBalance(row, layer, ranks).placement()
+        for stage in LayerBalance(row, layer, ranks).improve(POLISH_STEPS):
             best = min(best, stage, key=lambda item: item.skew)
         rows.append(best.row)
     return rows
--- a/carawayhub/groups/balance.py
+++ b/carawayhub/groups/balance.py
@@ -1,32 +1,32 @@
-"""Small steps that lower the load of the busiest rank in one layer.
+"""Local search that lowers the load of the busiest rank in one layer.
 
-Loads and skew are those of :mod:`carawayhub.groups.loads`. A step is judged by what it takes from a
-steep norm of the loads for each expert that must be fetched.
+Loads and skew are defined in :mod:`carawayhub.groups.loads`. A step is scored by how much it lowers
+a high-order norm of the rank loads per expert that must be fetched.
 """
 
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-from carawayhub.groups.loads import Stage, rank_loads
+from carawayhub.groups.loads import LayerPlacement, rank_loads
 
-COOL_RANKS = 8
+LEAST_LOADED_RANKS = 8
 SHIFT_RANKS = 6
 COLD_EXPERTS = 4
-DROP_PRICE = 0.25
-LEAST_PROGRESS = 1e-9
+NO_FETCH_COST = 0.25  # relative to a step that fetches an expert
+MIN_GAIN = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Put ``expert`` into the slot at ``at``; what stood there lives on elsewhere."""
+class Assign:
+    """Put ``expert`` into ``slot``, whose previous expert keeps a replica elsewhere."""
 
-    at: int
+    slot: int
     expert: int
 
 
 @dataclass(frozen=True, slots=True)
 class Swap:
-    """Exchange the experts at ``left`` and ``right``, on two ranks."""
+    """Exchange the experts in the slots ``left`` and ``right`` of two ranks."""
 
     left: int
     right: int
@@ -34,18 +34,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Shift:
-    """Put ``expert`` into the slot at ``at``, and what stood there into the slot at ``to``."""
+    """Put ``expert`` into ``slot``, and the previous expert of ``slot`` into ``to_slot``."""
 
-    at: int
+    slot: int
     expert: int
-    to: int
+    to_slot: int
 
 
-Step = Place | Swap | Shift
+Step = Assign | Swap | Shift
 
 
 class LayerBalance:
-    """A layer's placement that is improved step by step.
+    """The placement of one layer, improved one step at a time.
 
     Args:
         row: Expert in each slot, rank by rank.
@@ -53,33 +53,42 @@
         ranks: Ranks of the group.
     """
 
-    __slots__ = ("_changed", "_holders", "_loads", "_origin", "_part", "_ranks", "_row", "_slots")
+    __slots__ = (
+        "_changed",
+        "_holders",
+        "_loads",
+        "_origin",
+        "_expert_loads",
+        "_ranks",
+        "_row",
+        "_slots",
+    )
 
     def __init__(self, row: tuple[int, ...], shares: Sequence[float], ranks: int) -> None:
         self._ranks = ranks
         self._slots = len(row) // ranks
         self._row = list(row)
         self._changed: set[int] = set()
-        self._part = [share * ranks for share in shares]
+        self._expert_loads = [share * ranks for share in shares]
         self._loads = rank_loads(row, shares, ranks)
         self._origin = [
             frozenset(row[rank * self._slots : (rank + 1) * self._slots]) for rank in range(ranks)
         ]
         self._holders: list[set[int]] = [set() for _ in shares]
-        for at, expert in enumerate(row):
-            self._holders[expert].add(at // self._slots)
+        for slot, expert in enumerate(row):
+            self._holders[expert].add(slot // self._slots)
 
-    def stage(self) -> Stage:
-        """Return the present placement."""
+    def placement(self) -> LayerPlacement:
+        """Return the current placement."""
         busiest = max(range(self._ranks), key=self._loads.__getitem__)
-        return Stage(tuple(self._row), self._loads[busiest], self._fetches(), busiest)
+        return LayerPlacement(tuple(self._row), self._loads[busiest], self._fetches(), busiest)
 
-    def stages(self, limit: int, *, shifts: int = 0) -> Iterator[Stage]:
-        """Take up to ``limit`` steps and yield the placement after each.
+    def improve(self, limit: int, *, shifts: int = 0) -> Iterator[LayerPlacement]:
+        """Apply up to ``limit`` steps and yield the placement after each.
 
         Args:
-            limit: Most steps.
-            shifts: How often to search for a shift, which is slow, where nothing simpler helps.
+            limit: Maximum number of steps.
+            shifts: How often to search for a shift, which is slow, when no simpler step helps.
         """
         for _ in range(limit):
             step = self.best_step()
@@ -89,258 +98,288 @@
             if step is None:
                 return
             self.apply(step)
-            yield self.stage()
+            yield self.placement()
 
     def best_step(self) -> Step | None:
-        """Return the step that relieves the busy ranks most for each expert moved, or None."""
+        """Return the step with the largest gain per expert fetched, or None."""
         by_load = sorted(range(self._ranks), key=self._loads.__getitem__)
-        hot = by_load[-1]
-        found = _Found()
-        reliefs = [self._relief(expert) for expert in set(self._held(hot))]
-        for cool in by_load[: min(COOL_RANKS, self._ranks - 1)]:
-            self._try_replicas(cool, reliefs, found)
-            self._try_swaps(hot, cool, found)
-        self._try_displacements(hot, found)
-        return found.step
+        hot_rank = by_load[-1]
+        best = _BestStep()
+        replica_effects = [
+            self._replica_effect(expert) for expert in set(self._rank_experts(hot_rank))
+        ]
+        for cold_rank in by_load[: min(LEAST_LOADED_RANKS, self._ranks - 1)]:
+            self._try_replicas(cold_rank, replica_effects, best)
+            self._try_swaps(hot_rank, cold_rank, best)
+        self._try_displacements(hot_rank, best)
+        return best.step
 
     def best_shift(self) -> Step | None:
-        """Return the shift that relieves the busiest rank most, or None.
+        """Return the shift with the largest gain, or None.
 
-        It helps where the cool ranks have no spare slot and the ranks with spare slots are not cool
-        enough for a hot expert, yet have room for a light one.
+        A shift helps when the least loaded ranks have no spare slot, and the ranks with spare slots
+        are too loaded for a hot expert but can take a light one.
         """
         by_load = sorted(range(self._ranks), key=self._loads.__getitem__)
-        reliefs = [self._relief(expert) for expert in set(self._held(by_load[-1]))]
-        spots = [spot for rank in by_load[:COOL_RANKS] for spot in self._spots(rank)]
-        found = _Found()
+        replica_effects = [
+            self._replica_effect(expert) for expert in set(self._rank_experts(by_load[-1]))
+        ]
+        spare_slots = [
+            spare_slot
+            for rank in by_load[:LEAST_LOADED_RANKS]
+            for spare_slot in self._spare_slots(rank)
+        ]
+        best = _BestStep()
         for rank in by_load[:SHIFT_RANKS]:
-            held = self._held(rank)
-            for offset, old in enumerate(held):
+            held = self._rank_experts(rank)
+            for index, old in enumerate(held):
                 if not self._is_spare(old, held):
-                    self._try_shifts(rank * self._slots + offset, reliefs, spots, found)
-        return found.step
+                    self._try_shifts(rank * self._slots + index, replica_effects, spare_slots, best)
+        return best.step
 
     def apply(self, step: Step) -> None:
-        """Carry ``step`` out."""
+        """Apply ``step`` to the placement."""
         match step:
-            case Place(at, expert):
-                self._loads_from(self._loads_after_place(at, expert))
-                self._put(at, expert)
+            case Assign(slot, expert):
+                self._update_loads(self._loads_after_assign(slot, expert))
+                self._set_slot(slot, expert)
             case Swap(left, right):
-                self._loads_from(self._loads_after_swap(left, right))
-                first, second = self._row[left], self._row[right]
-                self._put(left, second)
-                self._put(right, first)
-            case Shift(at, expert, to):
-                self.apply(Place(to, self._row[at]))
-                self.apply(Place(at, expert))
-
-    def _loads_from(self, new: dict[int, float]) -> None:
+                self._update_loads(self._loads_after_swap(left, right))
+                left_expert, right_expert = self._row[left], self._row[right]
+                self._set_slot(left, right_expert)
+                self._set_slot(right, left_expert)
+            case Shift(slot, expert, to_slot):
+                self.apply(Assign(to_slot, self._row[slot]))
+                self.apply(Assign(slot, expert))
+
+    def _update_loads(self, new: dict[int, float]) -> None:
         for rank, load in new.items():
             self._loads[rank] = load
 
-    def _put(self, at: int, expert: int) -> None:
-        rank = at // self._slots
-        old = self._row[at]
-        self._row[at] = expert
+    def _set_slot(self, slot: int, expert: int) -> None:
+        rank = slot // self._slots
+        old = self._row[slot]
+        self._row[slot] = expert
         self._changed.add(rank)
-        if old not in self._held(rank):
+        if old not in self._rank_experts(rank):
             self._holders[old].discard(rank)
         self._holders[expert].add(rank)
 
-    def _held(self, rank: int) -> list[int]:
+    def _rank_experts(self, rank: int) -> list[int]:
         return self._row[rank * self._slots : (rank + 1) * self._slots]
 
     def _fetches(self) -> int:
-        return sum(len(set(self._held(r)) - self._origin[r]) for r in self._changed)
+        return sum(len(set(self._rank_experts(r)) - self._origin[r]) for r in self._changed)
 
-    def _relief(self, expert: int) -> "_Relief":
-        """Return what one more replica of ``expert`` does to the ranks that hold it."""
+    def _replica_effect(self, expert: int) -> "_ReplicaEffect":
+        """Return how one more replica of ``expert`` relieves the ranks that hold it."""
         holders = self._holders[expert]
-        after = self._part[expert] / (len(holders) + 1)
-        less = self._part[expert] / len(holders) - after
-        change = sum([_norm(self._loads[r] - less) - _norm(self._loads[r]) for r in holders])
-        return _Relief(expert, after, change)
-
-    def _spots(self, rank: int) -> list["_Spot"]:
-        """Return the slots of ``rank`` whose expert lives on elsewhere."""
-        held = self._held(rank)
-        spots = []
-        for offset, old in enumerate(held):
+        after = self._expert_loads[expert] / (len(holders) + 1)
+        decrease = self._expert_loads[expert] / len(holders) - after
+        change = sum([_norm(self._loads[r] - decrease) - _norm(self._loads[r]) for r in holders])
+        return _ReplicaEffect(expert, after, change)
+
+    def _spare_slots(self, rank: int) -> list["_SpareSlot"]:
+        """Return the slots of ``rank`` whose expert has another replica."""
+        held = self._rank_experts(rank)
+        spare_slots = []
+        for index, old in enumerate(held):
             if self._is_spare(old, held):
-                left, pushed = self._removal(rank, old, held)
-                spots.append(_Spot(rank * self._slots + offset, rank, old, left, pushed))
-        return spots
+                remaining_load, others_change = self._removal(rank, old, held)
+                spare_slots.append(
+                    _SpareSlot(rank * self._slots + index, rank, old, remaining_load, others_change)
+                )
+        return spare_slots
 
     def _try_shifts(
-        self, at: int, reliefs: Sequence["_Relief"], spots: Sequence["_Spot"], found: "_Found"
+        self,
+        slot: int,
+        replica_effects: Sequence["_ReplicaEffect"],
+        spare_slots: Sequence["_SpareSlot"],
+        best: "_BestStep",
     ) -> None:
-        """Try to put a hot expert at ``at`` and the only replica that stands there into a spot."""
-        rank = at // self._slots
-        moved = self._row[at]
-        part = self._part[moved]
-        held = self._held(rank)
-        for relief in reliefs:
-            if relief.expert in held:
+        """Try a hot expert in ``slot``, with the only replica held there moved to a spare slot."""
+        rank = slot // self._slots
+        displaced = self._row[slot]
+        displaced_load = self._expert_loads[displaced]
+        held = self._rank_experts(rank)
+        for effect in replica_effects:
+            if effect.expert in held:
                 continue
-            hot_holders = self._holders[relief.expert]
-            own = _norm(self._loads[rank] - part + relief.after) - _norm(self._loads[rank])
-            start = own + relief.change
+            hot_holders = self._holders[effect.expert]
+            own_change = _norm(self._loads[rank] - displaced_load + effect.after) - _norm(
+                self._loads[rank]
+            )
+            start = own_change + effect.change
             if start >= 0:
                 continue
-            for spot in spots:
-                # Only independent changes may be added up: no rank may take part in two of them.
-                others = self._holders[spot.expert]
-                if spot.rank == rank or rank in others or spot.rank in hot_holders:
+            for spare_slot in spare_slots:
+                # Only independent changes may be added up: no rank may be affected by two of them.
+                others = self._holders[spare_slot.expert]
+                if spare_slot.rank == rank or rank in others or spare_slot.rank in hot_holders:
                     continue
                 if not hot_holders.isdisjoint(others):
                     continue
-                there = _norm(spot.left + part) - _norm(self._loads[spot.rank])
-                gain = -(start + spot.pushed + there) / 2.0
-                if gain > found.gain:
-                    found.take(gain, Shift(at, relief.expert, spot.at))
-
-    def _try_replicas(self, cool: int, reliefs: Sequence["_Relief"], found: "_Found") -> None:
-        """Try to put an expert of the busiest rank into a spare slot of ``cool``."""
-        held = self._held(cool)
-        load = self._loads[cool]
-        for offset, old in enumerate(held):
+                spare_change = _norm(spare_slot.remaining_load + displaced_load) - _norm(
+                    self._loads[spare_slot.rank]
+                )
+                gain = -(start + spare_slot.others_change + spare_change) / 2.0
+                if gain > best.gain:
+                    best.update(gain, Shift(slot, effect.expert, spare_slot.slot))
+
+    def _try_replicas(
+        self, cold_rank: int, replica_effects: Sequence["_ReplicaEffect"], best: "_BestStep"
+    ) -> None:
+        """Try to put an expert of the busiest rank into a spare slot of ``cold_rank``."""
+        held = self._rank_experts(cold_rank)
+        load = self._loads[cold_rank]
+        for index, old in enumerate(held):
             if not self._is_spare(old, held):
                 continue
-            left, pushed = self._removal(cool, old, held)
-            for relief in reliefs:
-                if relief.expert in held:
+            remaining_load, others_change = self._removal(cold_rank, old, held)
+            for effect in replica_effects:
+                if effect.expert in held:
                     continue
-                at = cool * self._slots + offset
-                if self._holders[relief.expert].isdisjoint(self._holders[old]):
-                    own = _norm(left + relief.after) - _norm(load)
-                    change = relief.change + pushed + own
+                slot = cold_rank * self._slots + index
+                if self._holders[effect.expert].isdisjoint(self._holders[old]):
+                    own_change = _norm(remaining_load + effect.after) - _norm(load)
+                    change = effect.change + others_change + own_change
                 else:
-                    change = self._change_of_norm(at, relief.expert)
-                gain = -change / self._price(cool, relief.expert)
-                if gain > found.gain:
-                    found.take(gain, Place(at, relief.expert))
+                    change = self._change_of_norm(slot, effect.expert)
+                gain = -change / self._step_cost(cold_rank, effect.expert)
+                if gain > best.gain:
+                    best.update(gain, Assign(slot, effect.expert))
 
     def _removal(self, rank: int, old: int, held: list[int]) -> tuple[float, float]:
-        """Return the load of ``rank`` without ``old``, and the change of norm on other holders."""
+        """Return the load of ``rank`` without ``old``, and the change in norm on other holders."""
         if held.count(old) > 1:
             return self._loads[rank], 0.0
-        rest = self._holders[old]
-        before = self._part[old] / len(rest)
-        more = self._part[old] / (len(rest) - 1) - before
+        old_holders = self._holders[old]
+        before = self._expert_loads[old] / len(old_holders)
+        increase = self._expert_loads[old] / (len(old_holders) - 1) - before
         loads = self._loads
-        change = sum([_norm(loads[r] + more) - _norm(loads[r]) for r in rest if r != rank])
+        change = sum(
+            [_norm(loads[r] + increase) - _norm(loads[r]) for r in old_holders if r != rank]
+        )
         return loads[rank] - before, change
 
-    def _try_swaps(self, hot: int, cool: int, found: "_Found") -> None:
-        """Try to exchange an expert of the busiest rank for a lighter one of ``cool``."""
-        mine, theirs = self._held(hot), self._held(cool)
-        hot_load, cool_load = self._loads[hot], self._loads[cool]
-        now = _norm(hot_load) + _norm(cool_load)
-        for left, first in enumerate(mine):
-            if first in theirs or mine.count(first) > 1:
+    def _try_swaps(self, hot_rank: int, cold_rank: int, best: "_BestStep") -> None:
+        """Try to exchange an expert of ``hot_rank`` for a lighter one of ``cold_rank``."""
+        hot_experts, cold_experts = self._rank_experts(hot_rank), self._rank_experts(cold_rank)
+        hot_load, cold_load = self._loads[hot_rank], self._loads[cold_rank]
+        norm_before = _norm(hot_load) + _norm(cold_load)
+        for left, left_expert in enumerate(hot_experts):
+            if left_expert in cold_experts or hot_experts.count(left_expert) > 1:
                 continue
-            load = self._part[first] / len(self._holders[first])
-            for right, second in enumerate(theirs):
-                shift = load - self._part[second] / len(self._holders[second])
-                if shift <= 0 or second in mine or theirs.count(second) > 1:
+            load = self._expert_loads[left_expert] / len(self._holders[left_expert])
+            for right, right_expert in enumerate(cold_experts):
+                shift = load - self._expert_loads[right_expert] / len(self._holders[right_expert])
+                if (
+                    shift <= 0
+                    or right_expert in hot_experts
+                    or cold_experts.count(right_expert) > 1
+                ):
                     continue
-                gain = now - _norm(hot_load - shift) - _norm(cool_load + shift)
-                if gain <= found.gain * 2 * DROP_PRICE:
+                gain = norm_before - _norm(hot_load - shift) - _norm(cold_load + shift)
+                if gain <= best.gain * 2 * NO_FETCH_COST:
                     continue
-                gain /= self._price(hot, second) + self._price(cool, first)
-                if gain > found.gain:
-                    step = Swap(hot * self._slots + left, cool * self._slots + right)
-                    found.take(gain, step)
-
-    def _try_displacements(self, hot: int, found: "_Found") -> None:
-        """Try to put something light in place of a replica that the busiest rank holds."""
-        held = self._held(hot)
-        spare = [offset for offset, old in enumerate(held) if self._is_spare(old, held)]
-        if not spare:
+                gain /= self._step_cost(hot_rank, right_expert) + self._step_cost(
+                    cold_rank, left_expert
+                )
+                if gain > best.gain:
+                    step = Swap(hot_rank * self._slots + left, cold_rank * self._slots + right)
+                    best.update(gain, step)
+
+    def _try_displacements(self, hot_rank: int, best: "_BestStep") -> None:
+        """Try to replace a replica on the busiest rank with a light expert."""
+        held = self._rank_experts(hot_rank)
+        spare_indexes = [index for index, old in enumerate(held) if self._is_spare(old, held)]
+        if not spare_indexes:
             return
-        cold = sorted(range(len(self._part)), key=self._part.__getitem__)[:COLD_EXPERTS]
-        for offset in spare:
-            for expert in {*cold, held[offset - 1]} - {held[offset]}:
-                at = hot * self._slots + offset
-                gain = -self._change_of_norm(at, expert) / self._price(hot, expert)
-                if gain > found.gain:
-                    found.take(gain, Place(at, expert))
+        cold = sorted(range(len(self._expert_loads)), key=self._expert_loads.__getitem__)[
+            :COLD_EXPERTS
+        ]
+        for index in spare_indexes:
+            for expert in {*cold, held[index - 1]} - {held[index]}:
+                slot = hot_rank * self._slots + index
+                gain = -self._change_of_norm(slot, expert) / self._step_cost(hot_rank, expert)
+                if gain > best.gain:
+                    best.update(gain, Assign(slot, expert))
 
     def _is_spare(self, expert: int, held: list[int]) -> bool:
         return len(self._holders[expert]) > 1 or held.count(expert) > 1
 
-    def _price(self, rank: int, expert: int) -> float:
+    def _step_cost(self, rank: int, expert: int) -> float:
         free = expert in self._origin[rank] or rank in self._holders[expert]
-        return DROP_PRICE if free else 1.0
+        return NO_FETCH_COST if free else 1.0
 
-    def _change_of_norm(self, at: int, expert: int) -> float:
+    def _change_of_norm(self, slot: int, expert: int) -> float:
         loads = self._loads
         change = 0.0
-        for rank, load in self._loads_after_place(at, expert).items():
+        for rank, load in self._loads_after_assign(slot, expert).items():
             change += _norm(load) - _norm(loads[rank])
         return change
 
-    def _loads_after_place(self, at: int, expert: int) -> dict[int, float]:
-        rank = at // self._slots
-        old = self._row[at]
-        loads, holders, parts = self._loads, self._holders, self._part
+    def _loads_after_assign(self, slot: int, expert: int) -> dict[int, float]:
+        rank = slot // self._slots
+        old = self._row[slot]
+        loads, holders, loads_by_expert = self._loads, self._holders, self._expert_loads
         new = {rank: loads[rank]}
-        if self._held(rank).count(old) == 1:
-            rest = holders[old]
-            before = parts[old] / len(rest)
-            more = parts[old] / (len(rest) - 1) - before
-            for other in rest:
-                new[other] = loads[other] + more
+        if self._rank_experts(rank).count(old) == 1:
+            old_holders = holders[old]
+            before = loads_by_expert[old] / len(old_holders)
+            increase = loads_by_expert[old] / (len(old_holders) - 1) - before
+            for other in old_holders:
+                new[other] = loads[other] + increase
             new[rank] = loads[rank] - before
-        sharers = holders[expert]
-        if rank not in sharers:
-            after = parts[expert] / (len(sharers) + 1)
-            less = parts[expert] / len(sharers) - after
-            for other in sharers:
-                new[other] = new.get(other, loads[other]) - less
+        expert_holders = holders[expert]
+        if rank not in expert_holders:
+            after = loads_by_expert[expert] / (len(expert_holders) + 1)
+            decrease = loads_by_expert[expert] / len(expert_holders) - after
+            for other in expert_holders:
+                new[other] = new.get(other, loads[other]) - decrease
             new[rank] += after
         return new
 
     def _loads_after_swap(self, left: int, right: int) -> dict[int, float]:
-        first, second = self._row[left], self._row[right]
-        hot, cool = left // self._slots, right // self._slots
-        shift = self._part[first] / len(self._holders[first])
-        shift -= self._part[second] / len(self._holders[second])
-        return {hot: self._loads[hot] - shift, cool: self._loads[cool] + shift}
+        left_expert, right_expert = self._row[left], self._row[right]
+        hot_rank, cold_rank = left // self._slots, right // self._slots
+        shift = self._expert_loads[left_expert] / len(self._holders[left_expert])
+        shift -= self._expert_loads[right_expert] / len(self._holders[right_expert])
+        return {hot_rank: self._loads[hot_rank] - shift, cold_rank: self._loads[cold_rank] + shift}
 
 
 @dataclass(slots=True)
-class _Found:
-    gain: float = LEAST_PROGRESS
+class _BestStep:
+    gain: float = MIN_GAIN
     step: Step | None = None
 
-    def take(self, gain: float, step: Step) -> None:
+    def update(self, gain: float, step: Step) -> None:
         self.gain = gain
         self.step = step
 
 
 @dataclass(frozen=True, slots=True)
-class _Relief:
+class _ReplicaEffect:
     expert: int
     after: float
     change: float
 
 
 @dataclass(frozen=True, slots=True)
-class _Spot:
-    at: int
+class _SpareSlot:
+    slot: int
     rank: int
     expert: int
-    left: float
-    pushed: float
+    remaining_load: float
+    others_change: float
 
 
 def _norm(load: float) -> float:
     """Return the eighth power of ``load``.
 
-    Summed over ranks it is near the maximum, yet still rewards relief for one of two ranks that are
-    equally busy, where the maximum alone sees no gain in either.
+    The sum over ranks approximates the maximum, but also falls when only one of two equally busy
+    ranks is relieved, whereas the maximum would stay the same.
     """
     square = load * load
     fourth = square * square
--- a/carawayhub/groups/decisions.py
+++ b/carawayhub/groups/decisions.py
@@ -1,4 +1,4 @@
-"""What the policy is told, what it assumes and what it decides, as data."""
+"""Data types for the inputs, options and decisions of the rebalancing policy."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class Reason(Enum):
-    """Why a map stays or changes; the value is the text for operators."""
+    """Why a map is kept or changed; the value is the text shown to operators."""
 
     DRAINING = "the group drains"
     CHANGING = "a change is under way"
@@ -25,17 +25,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Situation:
-    """What the decision must know of the group beside popularity.
+    """The state of the group that a decision needs besides expert popularity.
 
     Attributes:
         draining: Whether the group or one of its endpoints is leaving.
         changing: Whether a change of its map is under way.
-        utilisation: Part of its capacity in use, from 0 to 1 or above.
-        running: Requests that run on it.
+        utilisation: Fraction of its capacity in use; above 1 under overload.
+        running: Number of running requests.
         step_seconds: Recent mean time of one step.
-        staging_rate: Bytes a second that the weight store can give this group.
-        routable: Part of the gain that routing can reach by itself, from 0 to 1.
-        stragglers: Ranks known to be slow at an ordinary load.
+        staging_rate: Bytes per second that the weight store can deliver to this group.
+        routing_share: Fraction of the gain that routing alone can achieve, from 0 to 1.
+        stragglers: Ranks that are slower than their load explains.
     """
 
     draining: bool = False
@@ -44,55 +44,55 @@
     running: int = 32
     step_seconds: float = 0.006
     staging_rate: float = 1_000_000_000.0
-    routable: float = 0.0
+    routing_share: float = 0.0
     stragglers: tuple[Straggler, ...] = ()
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Effort:
-    """How much one decision may search, which bounds its time.
+class SearchBudget:
+    """Limits on the search of one decision, which bound its run time.
 
     Attributes:
-        steps: Small steps over all layers.
-        searches: Layers that get the slow searches in one decision; the layers take turns.
+        steps: Maximum number of search steps over all layers.
+        slow_searches: Number of layers per decision that get the slow searches, in rotation.
     """
 
     steps: int = 140
-    searches: int = 12
+    slow_searches: int = 12
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PolicyOptions:
-    """What a decision assumes.
+    """Assumptions behind a decision.
 
     Attributes:
-        horizon: Seconds over which a better balance is expected to last at first, and for which
-            each change is measured; from then on the measurements tell how long gains last.
-        longest_staging: Seconds for which the weight store may work for one change.
-        certainty: Standard errors by which a gain must exceed zero.
-        surge_from: Utilisation from which the group is in a surge.
-        surge_price: Factor on all costs in a surge.
-        staging_price: Seconds of step time that a second of the weight store's work is worth at
-            equal weights; below 1, since steps run on meanwhile.
-        effort: How much one decision may search.
+        horizon: Seconds for which a better balance is initially expected to last, and for which
+            each change is measured; the measurements then replace the initial value.
+        max_staging_seconds: Maximum time that the weight store may spend on one change.
+        min_standard_errors: Standard errors by which a gain must exceed zero.
+        surge_utilisation: Utilisation from which the group is in a surge.
+        surge_cost_factor: Factor on all costs in a surge.
+        staging_cost_factor: Seconds of step time that equal one second of the weight store's work
+            at equal weights; below 1 because steps continue during staging.
+        search_budget: Limits on the search of one decision.
     """
 
     horizon: float = 900.0
-    certainty: float = 5.0
-    surge_from: float = 0.85
-    surge_price: float = 2.0
-    longest_staging: float = 30.0
-    staging_price: float = 0.5
-    effort: Effort = field(default_factory=Effort)
+    min_standard_errors: float = 5.0
+    surge_utilisation: float = 0.85
+    surge_cost_factor: float = 2.0
+    max_staging_seconds: float = 30.0
+    staging_cost_factor: float = 0.5
+    search_budget: SearchBudget = field(default_factory=SearchBudget)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Keep:
-    """Leave the map as it is.
+    """Keep the current map.
 
     Attributes:
-        reason: Why.
-        skew: Step-time skew estimated now.
+        reason: Why the map is kept.
+        skew: Current estimate of the step-time skew.
     """
 
     reason: Reason
@@ -104,14 +104,14 @@
     """Change to another map.
 
     Attributes:
-        reason: Why.
+        reason: Why the map changes.
         map: The new map.
-        skew: Step-time skew estimated now.
+        skew: Current estimate of the step-time skew.
         expected_skew: Step-time skew expected under the new map.
-        gain_seconds: Step time saved over the horizon, less what noise may explain.
-        cost_seconds: Cost of the change.
-        fetches: Experts that ranks must load.
-        bytes: Their size.
+        gain_seconds: Step time saved over the horizon, less the part that noise may explain.
+        cost_seconds: Cost of the change in seconds of step time.
+        fetches: Number of experts that ranks must load.
+        bytes: Total size of those experts.
     """
 
     reason: Reason
--- a/carawayhub/groups/loads.py
+++ b/carawayhub/groups/loads.py
@@ -1,11 +1,11 @@
-"""Load of each rank in one layer, and its skew.
+"""Computes the load of each rank in one layer, and its skew.
 
-A layer's placement is a row as in :class:`carawayhub.groups.maps.ExpertMap`: the expert in each
-slot, rank by rank. An expert's load is split evenly over the ranks that hold it. Loads are scaled
-so that the mean rank has 1.0; the skew of a layer is then the load of its busiest rank.
+A layer's placement is a row of :class:`carawayhub.groups.maps.ExpertMap`: the expert in each slot,
+rank by rank. An expert's load is split evenly over the ranks that hold it. Loads are scaled to a
+mean of 1.0 over the ranks; the skew of a layer is the load of its busiest rank.
 
 All ranks wait for the busiest one in every layer, so a step takes as long as the sum of these
-maxima over the layers, and the step-time skew of a map is their mean: 1.0 is perfect balance.
+maxima over the layers. The step-time skew of a map is their mean; 1.0 is perfect balance.
 """
 
 import math
@@ -14,17 +14,17 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-LAYOUTS_KEPT = 256
+LAYOUT_CACHE_SIZE = 256
 
 
 @dataclass(frozen=True, slots=True)
-class Stage:
-    """A layer after some steps.
+class LayerPlacement:
+    """A placement of one layer and its cost relative to the original placement.
 
     Attributes:
-        row: The placement.
-        skew: Load of the busiest rank over the mean.
-        fetches: Experts that ranks must load to get here from the start.
+        row: Expert in each slot, rank by rank.
+        skew: Load of the busiest rank, relative to the mean.
+        fetches: Number of experts that ranks must load to reach this placement.
         busiest: The busiest rank.
     """
 
@@ -40,7 +40,7 @@
     holders: dict[int, int]
 
 
-@lru_cache(maxsize=LAYOUTS_KEPT)
+@lru_cache(maxsize=LAYOUT_CACHE_SIZE)
 def _layout(row: tuple[int, ...], ranks: int) -> _Layout:
     slots = len(row) // ranks
     held = tuple(tuple(set(row[at : at + slots])) for at in range(0, len(row), slots))
@@ -48,39 +48,41 @@
 
 
 def rank_loads(row: tuple[int, ...], shares: Sequence[float], ranks: int) -> list[float]:
-    """Return each rank's load with mean 1.0.
+    """Return the load of each rank, scaled to a mean of 1.0.
 
     Args:
         row: Expert in each slot, rank by rank.
         shares: Share of each expert; they add up to one.
-        ranks: Ranks of the group.
+        ranks: Number of ranks in the group.
     """
     layout = _layout(row, ranks)
     holders = layout.holders
-    part = [share * ranks / holders[expert] for expert, share in enumerate(shares)]
-    return [sum([part[expert] for expert in experts]) for experts in layout.held]
+    replica_loads = [share * ranks / holders[expert] for expert, share in enumerate(shares)]
+    return [sum([replica_loads[expert] for expert in experts]) for experts in layout.held]
 
 
 def load_error(row: tuple[int, ...], errors: Sequence[float], ranks: int, rank: int) -> float:
-    """Return the standard error of one rank's load, from those of the shares."""
+    """Return the standard error of one rank's load, given the errors of the shares."""
     layout = _layout(row, ranks)
-    parts = [errors[expert] * ranks / layout.holders[expert] for expert in layout.held[rank]]
-    return math.hypot(*parts)
+    replica_errors = [
+        errors[expert] * ranks / layout.holders[expert] for expert in layout.held[rank]
+    ]
+    return math.hypot(*replica_errors)
 
 
 def layer_skew(row: tuple[int, ...], shares: Sequence[float], ranks: int) -> float:
-    """Return the load of the busiest rank over the mean."""
+    """Return the load of the busiest rank, relative to the mean."""
     return max(rank_loads(row, shares, ranks))
 
 
-def stage_of(
+def evaluate_placement(
     row: tuple[int, ...], origin: tuple[int, ...], shares: Sequence[float], ranks: int
-) -> Stage:
-    """Return what ``row`` is worth when it replaces ``origin``."""
+) -> LayerPlacement:
+    """Return the placement ``row`` with its skew and the fetches to reach it from ``origin``."""
     loads = rank_loads(row, shares, ranks)
     busiest = max(range(ranks), key=loads.__getitem__)
     before, after = _layout(origin, ranks).held, _layout(row, ranks).held
     fetches = sum(
         len(set(new).difference(old)) for old, new in zip(before, after, strict=True) if new != old
     )
-    return Stage(row, loads[busiest], fetches, busiest)
+    return LayerPlacement(row, loads[busiest], fetches, busiest)
--- a/carawayhub/groups/maps.py
+++ b/carawayhub/groups/maps.py
@@ -22,10 +22,10 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class MapId:
-    """The identity of a map: no two maps with different content share one.
+    """Identifies a map; maps with different content have different ids.
 
     Attributes:
-        number: Grows by one with each change of a group's map.
+        number: Increases by one with each change of a group's map.
         digest: Hash of the number and the content, as lower-case hex.
     """
 
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ExpertMap:
-    """Where the experts of one group lie.
+    """The experts in each weight slot of one group.
 
     Attributes:
-        number: Grows by one with each change.
-        ranks: Ranks of the group.
-        layers: For each layer the expert in each slot, rank by rank: slot ``i`` of rank ``r`` is
+        number: Increases by one with each change.
+        ranks: Number of ranks in the group.
+        layers: The expert in each slot, by layer and rank: slot ``i`` of rank ``r`` is
             at ``r * slots + i``. All layers have ``ranks * slots`` slots.
-        digest: Hash of all the above; worked out, never passed in.
+        digest: Hash of the other attributes; computed on creation.
     """
 
     number: int
@@ -58,27 +58,27 @@
 
     @property
     def id(self) -> MapId:
-        """Number and digest."""
+        """The number and digest."""
         return MapId(self.number, self.digest)
 
     @property
     def slots(self) -> int:
-        """Slots of one rank in one layer."""
+        """Slots per rank in one layer."""
         return len(self.layers[0]) // self.ranks if self.layers else 0
 
     def held(self, rank: int, layer: int) -> tuple[int, ...]:
-        """Return the experts in the slots of ``rank`` in ``layer``; one may stand twice."""
+        """Return the experts in the slots of ``rank`` in ``layer``; may contain duplicates."""
         slots = self.slots
         return self.layers[layer][rank * slots : (rank + 1) * slots]
 
     def replicas(self, layer: int, expert: int) -> tuple[int, ...]:
-        """Return the ranks that hold ``expert`` in ``layer``, each once, in ascending order."""
+        """Return the distinct ranks that hold ``expert`` in ``layer``, in ascending order."""
         slots = self.slots
         row = self.layers[layer]
         return tuple(sorted({at // slots for at, held in enumerate(row) if held == expert}))
 
     def with_layers(self, layers: Sequence[Sequence[int]]) -> "ExpertMap":
-        """Return the map that follows this one, with the next number and ``layers``."""
+        """Return the successor of this map, with the next number and ``layers``."""
         rows = tuple(tuple(row) for row in layers)
         return ExpertMap(number=self.number + 1, ranks=self.ranks, layers=rows)
 
@@ -91,7 +91,7 @@
         rank: Rank whose slot it is.
         layer: Layer of the slot.
         slot: Slot of the rank in that layer, from 0.
-        expert: Expert that comes into it.
+        expert: New expert of the slot.
     """
 
     rank: int
@@ -101,19 +101,22 @@
 
 
 def even_map(*, ranks: int, experts: int, layers: int, spare_slots: int) -> ExpertMap:
-    """Return the map a new group starts with: experts dealt evenly, spares filled in order.
+    """Return the first map of a group: experts spread evenly, spare slots filled in order.
 
     Args:
-        ranks: Ranks of the group.
-        experts: Experts a layer.
-        layers: Layers with experts.
-        spare_slots: Slots a rank and layer beyond an even share of the experts.
+        ranks: Number of ranks in the group.
+        experts: Number of experts per layer.
+        layers: Number of layers with experts.
+        spare_slots: Slots per rank and layer beyond an even share of the experts.
 
     Raises:
-        GroupError: With ``MAP_INVALID`` where a size is not positive.
+        GroupError: With ``MAP_INVALID`` if a size is out of range.
     """
     if min(ranks, experts, layers) < 1 or spare_slots < 0:
-        raise GroupError(Code.MAP_INVALID, "ranks, experts and layers must be at least 1")
+        raise GroupError(
+            Code.MAP_INVALID,
+            "ranks, experts and layers must be at least 1, spare_slots at least 0",
+        )
     base = -(-experts // ranks)
     row: list[int] = []
     for rank in range(ranks):
@@ -124,34 +127,38 @@
 
 
 def check_map(new: ExpertMap, *, ranks: int, experts: int, layers: int, slots: int) -> None:
-    """Check that ``new`` fits a group and leaves no expert without a rank.
+    """Check that ``new`` matches the sizes of a group and places every expert.
 
     Args:
         new: The map to check.
-        ranks: Ranks of the group.
-        experts: Experts a layer.
-        layers: Layers with experts.
-        slots: Slots of one rank in one layer.
+        ranks: Number of ranks in the group.
+        experts: Number of experts per layer.
+        layers: Number of layers with experts.
+        slots: Slots per rank in one layer.
 
     Raises:
-        GroupError: With ``MAP_INVALID``, naming the first layer that is off.
+        GroupError: With ``MAP_INVALID``, naming the first invalid layer.
     """
     if new.ranks != ranks or len(new.layers) != layers:
         raise GroupError(
             Code.MAP_INVALID,
-            f"{new.ranks} ranks and {len(new.layers)} layers, expected {ranks} and {layers}",
+            f"map has {new.ranks} ranks, {len(new.layers)} layers; expected {ranks} and {layers}",
         )
-    wanted = set(range(experts))
+    expected_experts = set(range(experts))
     for layer, row in enumerate(new.layers):
         if len(row) != ranks * slots:
-            raise GroupError(Code.MAP_INVALID, f"layer {layer} has {len(row)} slots")
-        if set(row) != wanted:
-            odd = sorted(wanted ^ set(row))
-            raise GroupError(Code.MAP_INVALID, f"layer {layer}: experts {odd[:8]} missing or odd")
+            raise GroupError(
+                Code.MAP_INVALID, f"layer {layer} has the wrong number of slots: {len(row)}"
+            )
+        if set(row) != expected_experts:
+            wrong_experts = sorted(expected_experts ^ set(row))
+            raise GroupError(
+                Code.MAP_INVALID, f"layer {layer}: experts {wrong_experts[:8]} missing or unknown"
+            )
 
 
 def changed_slots(old: ExpertMap, new: ExpertMap) -> tuple[Load, ...]:
-    """Return every slot whose expert differs, in order of rank, layer and slot."""
+    """Return every slot whose expert differs, ordered by rank, layer and slot."""
     slots = new.slots
     changed = []
     for layer, (before, after) in enumerate(zip(old.layers, new.layers, strict=True)):
@@ -164,9 +171,9 @@
 
 
 def fetches(old: ExpertMap, new: ExpertMap) -> tuple[Load, ...]:
-    """Return the changed slots whose rank holds the expert in no slot of the layer yet.
+    """Return the changed slots whose rank does not yet hold the expert in that layer.
 
-    One expert that comes into two slots of a rank and layer is fetched once.
+    An expert assigned to two slots of a rank in one layer is fetched once.
     """
     needed: dict[tuple[int, int, int], Load] = {}
     for load in changed_slots(old, new):
@@ -176,7 +183,7 @@
 
 
 def moved_bytes(old: ExpertMap, new: ExpertMap, *, expert_bytes: int) -> int:
-    """Return the bytes that the weight store must deliver to go from ``old`` to ``new``."""
+    """Return the bytes that the weight store must deliver to change ``old`` to ``new``."""
     return len(fetches(old, new)) * expert_bytes
 
 
--- a/carawayhub/groups/policy.py
+++ b/carawayhub/groups/policy.py
@@ -1,9 +1,9 @@
-"""Whether to rebalance a group now, and what to move.
+"""Decides whether to rebalance a group now, and which experts to move.
 
-Gain and cost are both put into seconds of the group's step time. The gain is the step time that a
-better balance saves over the horizon. The cost is the time for which the weight store works for
-the move, plus the delay of every running request by the step that the switch may take. The
-operator's two weights say what a second of each is worth.
+Gain and cost are both expressed in seconds of the group's step time. The gain is the step time that
+a better balance saves over the horizon. The cost is the time that the weight store spends on the
+change, plus the delay of every running request by the one step that the switch may take. The
+operator sets the weight of a second of gain and of a second of cost.
 
 Example:
     >>> policy = Policy(group, clock)
@@ -28,16 +28,22 @@
     Rebalance,
     Situation,
 )
-from carawayhub.groups.loads import Stage, layer_skew, load_error, rank_loads, stage_of
+from carawayhub.groups.loads import (
+    LayerPlacement,
+    evaluate_placement,
+    layer_skew,
+    load_error,
+    rank_loads,
+)
 from carawayhub.groups.maps import ExpertMap
 from carawayhub.groups.outcomes import Outcome, Outcomes
 from carawayhub.groups.popularity import ExpertCounters, Observation, Popularity
 from carawayhub.groups.recompute import matched_row, recomputed_row
 
-STALE_SECONDS_LEAST = 60.0
+MIN_STALE_SECONDS = 60.0
 STALE_INTERVALS = 5
 STEPS_PER_LAYER = 8
-LEAST_SECONDS = 1e-9
+MIN_SAVED_SECONDS = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,26 +51,28 @@
     layer: int
     row: tuple[int, ...]
     gain: float
-    certain_gain: float
+    gain_lower_bound: float
     fetches: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Terms:
-    """Weighted seconds that a skew lower by 1.0 in one layer saves, and that one fetch costs."""
+class _Rates:
+    """Weighted seconds saved by lowering one layer's skew by 1.0, and spent on one fetch."""
 
-    second: float
-    price: float
+    skew_value: float
+    fetch_cost: float
 
 
 class Policy:
-    """Decides for one group; its memory is soft state that a new process learns again.
+    """The rebalancing policy of one group.
+
+    Its estimates are soft state, which a new process rebuilds from new counters.
 
     Args:
-        group: The group with its weights.
-        clock: For the age of counters.
-        options: What a decision assumes.
-        popularity: The estimator; a plain one where None.
+        group: The group and its weights.
+        clock: Clock that measures the age of the counters.
+        options: Assumptions behind a decision.
+        popularity: The estimator; a default ``Popularity`` if None.
     """
 
     __slots__ = (
@@ -73,9 +81,9 @@
         "_options",
         "_outcomes",
         "_popularity",
-        "_seen_at",
-        "_spacing",
-        "_turn",
+        "_observed_at",
+        "_report_interval",
+        "_decision_count",
     )
 
     def __init__(
@@ -91,29 +99,29 @@
         self._options = options or PolicyOptions()
         self._popularity = popularity or Popularity(layers=group.layers, experts=group.experts)
         self._outcomes = Outcomes(group.ranks, self._options.horizon)
-        self._seen_at = -math.inf
-        self._spacing = 0.0
-        self._turn = 0
+        self._observed_at = -math.inf
+        self._report_interval = 0.0
+        self._decision_count = 0
 
     @property
     def horizon(self) -> float:
-        """Seconds for which a gain is expected to last, as past changes tell."""
+        """Seconds for which a gain is expected to last, estimated from past changes."""
         return self._outcomes.lifetime(self._clock.monotonic())
 
     def observe(self, counters: ExpertCounters) -> Observation:
-        """Take a report of counters in."""
+        """Update the estimates with a report of counters."""
         result = self._popularity.observe(counters)
         if result is not Observation.TAKEN:
             return result
         now = self._clock.monotonic()
-        if self._seen_at > -math.inf:
-            self._spacing = now - self._seen_at
-        self._seen_at = now
+        if self._observed_at > -math.inf:
+            self._report_interval = now - self._observed_at
+        self._observed_at = now
         self._outcomes.observe(self._popularity, now)
         return result
 
     def skew(self, current: ExpertMap) -> float:
-        """Return the step-time skew of ``current`` estimated now."""
+        """Return the current estimate of the step-time skew under ``current``."""
         return _mean(self._layer_skews(current))
 
     def loads(self, current: ExpertMap) -> tuple[float, ...]:
@@ -125,25 +133,25 @@
         return tuple(_mean(loads) for loads in zip(*layers, strict=True))
 
     def decide(self, current: ExpertMap, situation: Situation) -> Decision:
-        """Return what to do with the map that is in force."""
+        """Return whether to keep or replace ``current``, the map in force."""
         skews = self._layer_skews(current)
         skew = _mean(skews)
-        obstacle = self._obstacle(situation)
-        if obstacle is not None:
-            return Keep(reason=obstacle, skew=skew)
+        blocking_reason = self._blocking_reason(situation)
+        if blocking_reason is not None:
+            return Keep(reason=blocking_reason, skew=skew)
         plans = self._plans(current, skews, situation)
         if not plans:
-            idle = Reason.STRAGGLER if situation.stragglers else Reason.BALANCED
-            return Keep(reason=idle, skew=skew)
-        return self._weigh(current, plans, skew, situation)
+            no_plan_reason = Reason.STRAGGLER if situation.stragglers else Reason.BALANCED
+            return Keep(reason=no_plan_reason, skew=skew)
+        return self._decide_from_plans(current, plans, skew, situation)
 
     def applied(self, old: ExpertMap, decision: Rebalance) -> None:
-        """Take note that ``decision`` is in force in place of ``old``: its gain is measured now."""
+        """Start to measure the gain of ``decision``, whose map has replaced ``old``."""
         expected = decision.skew - decision.expected_skew
         self._outcomes.start(old, decision.map, expected, self._clock.monotonic())
 
     def measured(self) -> tuple[Outcome, ...]:
-        """Return the changes whose measurement has ended since the last call."""
+        """Return the outcomes of changes whose measurement ended since the last call."""
         return self._outcomes.take_finished()
 
     def _layer_skews(self, current: ExpertMap) -> list[float]:
@@ -152,7 +160,7 @@
             for layer, row in enumerate(current.layers)
         ]
 
-    def _obstacle(self, situation: Situation) -> Reason | None:
+    def _blocking_reason(self, situation: Situation) -> Reason | None:
         if situation.draining:
             return Reason.DRAINING
         if situation.changing:
@@ -163,144 +171,150 @@
             return Reason.NO_STAGING
         if not self._popularity.ready:
             return Reason.LEARNING
-        # A paused process, or one cut off from its engine, holds an estimate of the past. Its
-        # decision would look sound and move weights for a popularity that is gone.
-        if self._clock.monotonic() - self._seen_at > self._stale_after():
+        # After a pause, or a loss of contact with the engine, the estimate is out of date. A
+        # decision based on it would move weights for a popularity that no longer exists.
+        if self._clock.monotonic() - self._observed_at > self._stale_after():
             return Reason.STALE
         return None
 
     def _stale_after(self) -> float:
-        return max(STALE_SECONDS_LEAST, STALE_INTERVALS * self._spacing)
+        return max(MIN_STALE_SECONDS, STALE_INTERVALS * self._report_interval)
 
     def _plans(
         self, current: ExpertMap, skews: Sequence[float], situation: Situation
     ) -> list[_LayerPlan]:
-        """Return what is worth doing in each layer, from the most skewed on."""
-        terms = _Terms(
-            second=self._seconds_per_skew(_mean(skews), situation),
-            price=self._price_of_fetch(situation),
+        """Return the plans of layers worth changing, most skewed layer first."""
+        rates = _Rates(
+            skew_value=self._seconds_per_skew(_mean(skews), situation),
+            fetch_cost=self._weighted_fetch_cost(situation),
         )
-        steps_left = self._options.effort.steps
-        self._turn += 1
+        remaining_steps = self._options.search_budget.steps
+        self._decision_count += 1
         plans = []
         for layer in sorted(range(len(skews)), key=lambda index: -skews[index]):
-            if steps_left <= 0 or (skews[layer] - 1.0) * terms.second <= LEAST_SECONDS:
+            if remaining_steps <= 0 or (skews[layer] - 1.0) * rates.skew_value <= MIN_SAVED_SECONDS:
                 break
-            if not self._may_pay(current.layers[layer], layer, skews[layer], terms):
+            if not self._can_pay_off(current.layers[layer], layer, skews[layer], rates):
                 continue
-            most = min(steps_left, STEPS_PER_LAYER)
-            plan, taken = self._plan_layer(current.layers[layer], layer, most, terms)
-            steps_left -= taken
+            max_steps = min(remaining_steps, STEPS_PER_LAYER)
+            plan, steps_tried = self._plan_layer(current.layers[layer], layer, max_steps, rates)
+            remaining_steps -= steps_tried
             if plan is not None:
                 plans.append(plan)
         return plans
 
-    def _may_pay(self, row: tuple[int, ...], layer: int, skew: float, terms: "_Terms") -> bool:
-        """Return whether an even layer would be worth one fetch, noise taken off."""
+    def _can_pay_off(self, row: tuple[int, ...], layer: int, skew: float, rates: "_Rates") -> bool:
+        """Return whether perfect balance in a layer, less noise, would be worth one fetch."""
         ranks = self._group.ranks
         loads = rank_loads(row, self._popularity.expected(layer), ranks)
         busiest = max(range(ranks), key=loads.__getitem__)
         error = load_error(row, self._popularity.errors(layer), ranks, busiest)
-        return (skew - 1.0 - self._options.certainty * error) * terms.second > terms.price
+        return (
+            skew - 1.0 - self._options.min_standard_errors * error
+        ) * rates.skew_value > rates.fetch_cost
 
     def _plan_layer(
-        self, row: tuple[int, ...], layer: int, most: int, terms: "_Terms"
+        self, row: tuple[int, ...], layer: int, max_steps: int, rates: "_Rates"
     ) -> tuple[_LayerPlan | None, int]:
-        """Return the best that can be done in a layer, and the steps that were tried."""
-        thorough = self._is_thorough(layer)
+        """Return the best plan for a layer, if any, and the number of steps tried."""
+        slow_search = self._has_slow_search_turn(layer)
         balance = LayerBalance(row, self._popularity.expected(layer), self._group.ranks)
-        start = balance.stage()
-        stages = list(balance.stages(most, shifts=1 if thorough else 0))
-        plan = self._best_stage(layer, start, stages, terms)
-        # A whole placement is a last resort: it moves most of a layer, and while that is staged no
-        # urgent step can be taken.
-        least = self._group.ranks * terms.price
-        if plan is None and thorough and (start.skew - 1.0) * terms.second > least:
-            plan = self._best_stage(layer, start, [self._whole(row, layer)], terms)
-        return plan, max(1, len(stages))
-
-    def _is_thorough(self, layer: int) -> bool:
-        """Return whether it is this layer's turn for the slow searches."""
-        period = -(-self._group.layers // self._options.effort.searches)
-        return (layer + self._turn) % period == 0
-
-    def _whole(self, row: tuple[int, ...], layer: int) -> Stage:
-        """Return a placement from nothing, for a layer that small steps leave far from even."""
+        start = balance.placement()
+        candidates = list(balance.improve(max_steps, shifts=1 if slow_search else 0))
+        plan = self._best_plan(layer, start, candidates, rates)
+        # Recomputing the placement is the last resort: it moves most of a layer, and no urgent
+        # change can begin while the weights are staged.
+        min_value = self._group.ranks * rates.fetch_cost
+        if plan is None and slow_search and (start.skew - 1.0) * rates.skew_value > min_value:
+            plan = self._best_plan(layer, start, [self._recomputed_placement(row, layer)], rates)
+        return plan, max(1, len(candidates))
+
+    def _has_slow_search_turn(self, layer: int) -> bool:
+        """Return whether this decision runs the slow searches for ``layer``."""
+        period = -(-self._group.layers // self._options.search_budget.slow_searches)
+        return (layer + self._decision_count) % period == 0
+
+    def _recomputed_placement(self, row: tuple[int, ...], layer: int) -> LayerPlacement:
+        """Return a placement computed from scratch, for a layer that steps cannot balance."""
         ranks = self._group.ranks
         shares = self._popularity.expected(layer)
         new = recomputed_row(shares, ranks=ranks, slots=len(row) // ranks)
-        return stage_of(matched_row(new, row, ranks=ranks), row, shares, ranks)
+        return evaluate_placement(matched_row(new, row, ranks=ranks), row, shares, ranks)
 
-    def _best_stage(
-        self, layer: int, start: Stage, stages: Sequence[Stage], terms: "_Terms"
+    def _best_plan(
+        self,
+        layer: int,
+        start: LayerPlacement,
+        candidates: Sequence[LayerPlacement],
+        rates: "_Rates",
     ) -> _LayerPlan | None:
         ranks = self._group.ranks
         errors = self._popularity.errors(layer)
         before = load_error(start.row, errors, ranks, start.busiest)
         best: _LayerPlan | None = None
         best_value = 0.0
-        for stage in stages:
-            gain = start.skew - stage.skew
-            after = load_error(stage.row, errors, ranks, stage.busiest)
-            certain = gain - self._options.certainty * math.hypot(before, after)
-            value = certain * terms.second - stage.fetches * terms.price
+        for candidate in candidates:
+            gain = start.skew - candidate.skew
+            after = load_error(candidate.row, errors, ranks, candidate.busiest)
+            lower_bound = gain - self._options.min_standard_errors * math.hypot(before, after)
+            value = lower_bound * rates.skew_value - candidate.fetches * rates.fetch_cost
             if value > best_value:
                 best_value = value
-                best = _LayerPlan(layer, stage.row, gain, certain, stage.fetches)
+                best = _LayerPlan(layer, candidate.row, gain, lower_bound, candidate.fetches)
         return best
 
     def _seconds_per_skew(self, skew: float, situation: Situation) -> float:
-        """Return the weighted seconds that a layer's skew lowered by 1.0 saves."""
-        saved = self.horizon * (1.0 - situation.routable)
-        return self._group.skew_weight * saved / skew / self._group.layers
+        """Return the weighted seconds saved by lowering one layer's skew by 1.0."""
+        saved_seconds = self.horizon * (1.0 - situation.routing_share)
+        return self._group.skew_weight * saved_seconds / skew / self._group.layers
 
-    def _price_of_fetch(self, situation: Situation) -> float:
+    def _weighted_fetch_cost(self, situation: Situation) -> float:
         return self._group.rebalancing_weight * self._staging_cost(1, situation)
 
     def _staging_cost(self, fetches: int, situation: Situation) -> float:
-        """Return what the weight store's work for ``fetches`` is worth in seconds of step time."""
+        """Return the cost of ``fetches`` on the weight store, in seconds of step time."""
         seconds = fetches * self._group.expert_bytes / situation.staging_rate
-        return seconds * self._options.staging_price * self._surge_factor(situation)
+        return seconds * self._options.staging_cost_factor * self._surge_factor(situation)
 
     def _surge_factor(self, situation: Situation) -> float:
-        in_surge = situation.utilisation >= self._options.surge_from
-        return self._options.surge_price if in_surge else 1.0
+        in_surge = situation.utilisation >= self._options.surge_utilisation
+        return self._options.surge_cost_factor if in_surge else 1.0
 
-    def _within_limit(
+    def _within_staging_limit(
         self, plans: Sequence[_LayerPlan], situation: Situation
     ) -> Sequence[_LayerPlan]:
-        """Return the plans that gain most for each fetch, as many as one change may stage.
+        """Return the plans with the most gain per fetch, up to what one change may stage.
 
-        While a change is staged no other can begin, so a large one would delay an urgent one.
+        No other change can begin during staging, so a large change would delay an urgent one.
         """
         seconds = self._group.expert_bytes / situation.staging_rate
-        left = self._options.longest_staging / seconds
-        chosen: list[_LayerPlan] = []
-        for plan in sorted(plans, key=lambda item: -item.certain_gain / max(1, item.fetches)):
-            if chosen and plan.fetches > left:
+        remaining_fetches = self._options.max_staging_seconds / seconds
+        selected: list[_LayerPlan] = []
+        for plan in sorted(plans, key=lambda item: -item.gain_lower_bound / max(1, item.fetches)):
+            if selected and plan.fetches > remaining_fetches:
                 continue
-            chosen.append(plan)
-            left -= plan.fetches
-        return chosen
+            selected.append(plan)
+            remaining_fetches -= plan.fetches
+        return selected
 
-    def _weigh(
+    def _decide_from_plans(
         self,
         current: ExpertMap,
         plans: Sequence[_LayerPlan],
         skew: float,
         situation: Situation,
     ) -> Decision:
-        second = self._seconds_per_skew(skew, situation)
-        plans = self._within_limit(plans, situation)
+        skew_value = self._seconds_per_skew(skew, situation)
+        plans = self._within_staging_limit(plans, situation)
         fetches = sum(plan.fetches for plan in plans)
-        surge = self._surge_factor(situation)
-        switch = situation.step_seconds * (1 + situation.running) * surge
-        value = sum(plan.certain_gain for plan in plans) * second
-        cost_seconds = self._staging_cost(fetches, situation) + switch
+        surge_factor = self._surge_factor(situation)
+        switch_seconds = situation.step_seconds * (1 + situation.running) * surge_factor
+        value = sum(plan.gain_lower_bound for plan in plans) * skew_value
+        cost_seconds = self._staging_cost(fetches, situation) + switch_seconds
         cost = self._group.rebalancing_weight * cost_seconds
         if value <= cost:
-            refusal = Reason.SURGE if surge > 1.0 else Reason.NOT_WORTH_IT
-            return Keep(reason=refusal, skew=skew)
+            rejection = Reason.SURGE if surge_factor > 1.0 else Reason.NOT_WORTH_IT
+            return Keep(reason=rejection, skew=skew)
         rows = list(current.layers)
         for plan in plans:
             rows[plan.layer] = plan.row
--- a/carawayhub/groups/popularity.py
+++ b/carawayhub/groups/popularity.py
@@ -1,7 +1,8 @@
-"""Popularity of experts, estimated from token counters that arrive late, with gaps and resets.
+"""Estimates expert popularity from token counters that may be delayed, lost or reset.
 
-Popularity is a share: within a layer the shares of all experts add up to one. Only the growth of a
-counter between two reports of one source is used, so a lost report costs detail and no accuracy.
+Popularity is a share: the shares of all experts in a layer add up to one. Only the growth of a
+counter between two reports from one source is used, so a lost report reduces the time resolution
+but not the accuracy.
 """
 
 import math
@@ -13,11 +14,11 @@
 MIN_SAMPLES = 8
 NOISE_WEIGHT = 0.05
 TREND_WEIGHT = 0.2
-# In deviations of one sample. Noise alone leaves a third of one in the smoothed distance, so this
-# is eight times as much.
+# In standard deviations of one sample. Noise alone leaves a third of one such deviation in the
+# smoothed trend, so the limit is eight times the noise.
 TREND_LIMIT = 2.7
-CLIP = 3.0
-# Standard deviation of a normal sample over the mean absolute difference of two.
+MAX_NOISE_DEVIATIONS = 3.0
+# Ratio of the standard deviation of a normal sample to the mean absolute difference of two samples.
 DEVIATION_OF_DIFFERENCE = math.sqrt(math.pi) / 2.0
 
 
@@ -26,9 +27,9 @@
     """Tokens routed to each expert since the engine of one rank started.
 
     Attributes:
-        source: Rank whose router counted.
-        taken_at: Seconds on that engine's clock; compared only with others of the same source.
-        counts: For each layer the tokens sent to each expert.
+        source: Rank whose router counted the tokens.
+        taken_at: Seconds on that engine's clock; comparable only within one source.
+        counts: Tokens sent to each expert, by layer.
     """
 
     source: int
@@ -37,7 +38,7 @@
 
 
 class Observation(Enum):
-    """What became of one report of counters."""
+    """How one report of counters was handled."""
 
     FIRST = "first"
     TAKEN = "taken"
@@ -47,15 +48,15 @@
 
 
 class Popularity:
-    """Moving mean of every expert's share, with the error that sampling noise leaves in it.
+    """Moving mean of every expert's share, with its standard error due to sampling noise.
 
-    The noise is taken from differences between successive samples. A trend adds little to those,
-    whereas it would add its whole size to a deviation from the mean.
+    The noise is estimated from differences between successive samples. A trend adds little to these
+    differences, whereas it would add its full size to a deviation from the mean.
 
     Args:
-        layers: Layers with experts.
-        experts: Experts a layer.
-        time_constant: Seconds after which a sample has lost all but 1/e of its weight.
+        layers: Number of layers with experts.
+        experts: Number of experts per layer.
+        time_constant: Seconds after which the weight of a sample has decayed to 1/e.
     """
 
     __slots__ = (
@@ -87,28 +88,28 @@
 
     @property
     def ready(self) -> bool:
-        """Whether every layer has enough samples to tell a trend from noise."""
+        """Whether every layer has enough samples to distinguish a trend from noise."""
         return min(self._samples) >= MIN_SAMPLES
 
     def observe(self, counters: ExpertCounters) -> Observation:
-        """Take one report in.
+        """Process one report.
 
         Returns:
-            What became of it; only ``TAKEN`` changed the estimate.
+            How it was handled; only ``TAKEN`` means that the estimate changed.
 
         Raises:
-            ValueError: When its shape is not that of the group.
+            ValueError: If the number of layers or experts does not match the group.
         """
         self._check_shape(counters)
         before = self._baselines.get(counters.source)
         if before is not None and counters.taken_at <= before.taken_at:
-            return self._older(before, counters)
+            return self._handle_older(before, counters)
         self._baselines[counters.source] = counters
         if before is None:
             return Observation.FIRST
-        if _fell(before.counts, counters.counts):
+        if _has_decreased(before.counts, counters.counts):
             return Observation.RESET
-        return self._take(before, counters)
+        return self._apply_growth(before, counters)
 
     def errors(self, index: int) -> Sequence[float]:
         """Return the standard error of each expert's mean share in layer ``index``."""
@@ -116,10 +117,10 @@
         return [factor * deviation for deviation in self._deviations(index)]
 
     def _deviations(self, index: int) -> list[float]:
-        """Return the deviation of a single sample of each expert's share.
+        """Return the standard deviation of a single sample of each expert's share.
 
-        An expert's own noise is known from few samples at first and may look small by chance; it
-        counts as no smaller, for its share, than that of the layer's experts together.
+        The noise of one expert is estimated from few samples at first and may be small by chance.
+        Relative to its share, it is therefore never taken as lower than that of the whole layer.
         """
         mean, noise = self._mean[index], self._noise[index]
         squares = sum([share * share for share in mean])
@@ -127,43 +128,43 @@
         return [max(deviation, floor * share) for share, deviation in zip(mean, noise, strict=True)]
 
     def mean(self, index: int) -> Sequence[float]:
-        """Return the share of each expert in layer ``index``."""
+        """Return the mean share of each expert in layer ``index``."""
         return self._mean[index]
 
     def deviation(self, index: int) -> Sequence[float]:
-        """Return the deviation of a single sample of each expert's share in layer ``index``."""
+        """Return the standard deviation of one sample of each share in layer ``index``."""
         return self._noise[index]
 
     def expected(self, index: int) -> Sequence[float]:
-        """Return the shares to plan for: the mean, and for each expert on the move its lead on it.
+        """Return the shares to plan for: the mean, plus the trend of experts whose share changes.
 
-        A moving mean trails a rise. The smoothed distance of the samples to the mean is what it
-        trails by; it is added only where it is far above what noise makes of it.
+        A moving mean lags behind a rise. The trend, which is the smoothed distance of the samples
+        from the mean, estimates the lag; it is added only where it is far above the noise.
         """
-        led = [
-            max(0.0, share + lead) if abs(lead) > TREND_LIMIT * deviation else share
-            for share, lead, deviation in zip(
+        adjusted = [
+            max(0.0, share + trend) if abs(trend) > TREND_LIMIT * deviation else share
+            for share, trend, deviation in zip(
                 self._mean[index], self._trend[index], self._deviations(index), strict=True
             )
         ]
-        total = sum(led)
-        return [share / total for share in led]
+        total = sum(adjusted)
+        return [share / total for share in adjusted]
 
     def latest(self, index: int) -> Sequence[float]:
-        """Return the shares in the last interval seen; empty before the first."""
+        """Return the shares in the latest interval; empty before the first."""
         return self._latest[index]
 
     def _check_shape(self, counters: ExpertCounters) -> None:
         layers = len(self._mean)
         if len(counters.counts) != layers:
-            raise ValueError(f"{len(counters.counts)} layers of counters, expected {layers}")
+            raise ValueError(f"counters have {len(counters.counts)} layers, expected {layers}")
         if any(len(row) != self._experts for row in counters.counts):
-            raise ValueError(f"a layer does not have {self._experts} counters")
+            raise ValueError(f"every layer must have {self._experts} counters")
 
-    def _older(self, before: ExpertCounters, counters: ExpertCounters) -> Observation:
-        # An engine that restarted counts from zero on a clock that may also start again. Its report
-        # then looks old although it is new; it is told apart by counters that fell.
-        if not _fell(before.counts, counters.counts):
+    def _handle_older(self, before: ExpertCounters, counters: ExpertCounters) -> Observation:
+        # After a restart an engine counts from zero and its clock may also restart, so that a new
+        # report looks old. Counters that have decreased identify this case.
+        if not _has_decreased(before.counts, counters.counts):
             return Observation.OLD
         restarted = counters.taken_at < before.taken_at / 2
         if not restarted:
@@ -171,61 +172,62 @@
         self._baselines[counters.source] = counters
         return Observation.RESET
 
-    def _take(self, before: ExpertCounters, counters: ExpertCounters) -> Observation:
+    def _apply_growth(self, before: ExpertCounters, counters: ExpertCounters) -> Observation:
         elapsed = counters.taken_at - before.taken_at
         weight = 1.0 - math.exp(-elapsed / self._time_constant)
         total = 0
         for index, (old, new) in enumerate(zip(before.counts, counters.counts, strict=True)):
-            grown = [after - early for early, after in zip(old, new, strict=True)]
-            tokens = sum(grown)
+            growth = [after - early for early, after in zip(old, new, strict=True)]
+            tokens = sum(growth)
             if tokens > 0:
-                self._take_layer(index, [count / tokens for count in grown], weight)
+                self._update_layer(index, [count / tokens for count in growth], weight)
                 total += tokens
         if not total:
             return Observation.EMPTY
         self.volume_rate = total / len(self._mean) / elapsed
         return Observation.TAKEN
 
-    def _take_layer(self, index: int, shares: list[float], weight: float) -> None:
-        seen = self._samples[index]
-        # The first samples are averaged evenly: a fixed weight would keep the first one for long.
-        weight = max(weight, 1.0 / (seen + 1))
-        rest = 1.0 - weight
-        if seen:
+    def _update_layer(self, index: int, shares: list[float], weight: float) -> None:
+        sample_count = self._samples[index]
+        # The first samples are averaged equally; a fixed weight would favour the first for long.
+        weight = max(weight, 1.0 / (sample_count + 1))
+        old_weight = 1.0 - weight
+        if sample_count:
             self._mean[index] = [
-                rest * mean + weight * share
+                old_weight * mean + weight * share
                 for mean, share in zip(self._mean[index], shares, strict=True)
             ]
             self._update_noise(index, shares)
             self._trend[index] = [
-                (1.0 - TREND_WEIGHT) * lead + TREND_WEIGHT * (share - mean)
-                for lead, share, mean in zip(
+                (1.0 - TREND_WEIGHT) * trend + TREND_WEIGHT * (share - mean)
+                for trend, share, mean in zip(
                     self._trend[index], shares, self._mean[index], strict=True
                 )
             ]
         else:
             self._mean[index] = shares
-        squares = rest * rest * self._weight_squares[index] + weight * weight
-        self._weight_squares[index] = squares if seen else 1.0
+        squares = old_weight * old_weight * self._weight_squares[index] + weight * weight
+        self._weight_squares[index] = squares if sample_count else 1.0
         self._latest[index] = shares
-        self._samples[index] = seen + 1
+        self._samples[index] = sample_count + 1
 
     def _update_noise(self, index: int, shares: list[float]) -> None:
         weight = max(NOISE_WEIGHT, 1.0 / self._samples[index])
-        rest = 1.0 - weight
+        old_weight = 1.0 - weight
         factor = weight * DEVIATION_OF_DIFFERENCE
-        # A jump in popularity is one huge difference. Unclipped it would pass for noise for long
-        # after, and hide the very change that a decision should answer.
-        most = CLIP if self._samples[index] > MIN_SAMPLES else math.inf
+        # A jump in popularity appears as one very large difference. Without a limit it would
+        # inflate the noise estimate for a long time and hide the change from later decisions.
+        max_deviations = MAX_NOISE_DEVIATIONS if self._samples[index] > MIN_SAMPLES else math.inf
         self._noise[index] = [
-            rest * noise + factor * min(abs(share - last), most * noise / DEVIATION_OF_DIFFERENCE)
+            old_weight * noise
+            + factor * min(abs(share - last), max_deviations * noise / DEVIATION_OF_DIFFERENCE)
             for noise, share, last in zip(
                 self._noise[index], shares, self._latest[index], strict=True
             )
         ]
 
 
-def _fell(old: Sequence[Sequence[int]], new: Sequence[Sequence[int]]) -> bool:
+def _has_decreased(old: Sequence[Sequence[int]], new: Sequence[Sequence[int]]) -> bool:
     return any(
         after < before
         for early, late in zip(old, new, strict=True)
--- a/carawayhub/groups/recorded.py
+++ b/carawayhub/groups/recorded.py
@@ -1,11 +1,11 @@
-"""Recorded load of a group, and what the policy would have done with it.
+"""Replays the recorded load of a group through the rebalancing policy.
 
-A recording is a file of JSON lines: first the group, then one sample a line in order of time::
+A recording is a file of JSON lines: the group, then one sample per line in order of time::
 
     {"name": "catalogue", "ranks": 8, "experts": 32, "layers": 1, "spare_slots": 1}
     {"at": 10.0, "counts": [[120, 88, ...]], "utilisation": 0.6}
 
-``counts`` are tokens by layer and expert since the engine began; ``at`` is in seconds.
+``counts`` are tokens by layer and expert since the engine started; ``at`` is in seconds.
 """
 
 import math
@@ -26,8 +26,8 @@
 from carawayhub.groups.policy import Policy
 from carawayhub.groups.popularity import ExpertCounters, Observation, Popularity
 
-DECISION_SECONDS = 30.0
-LEAST_STAGING = 10.0
+DECISION_INTERVAL_SECONDS = 30.0
+MIN_STAGING_SECONDS = 10.0
 
 T = TypeVar("T")
 
@@ -58,19 +58,19 @@
 
 
 class Point(msgspec.Struct, kw_only=True):
-    """What the policy would have done at one time.
+    """What the policy would have done at one point in time.
 
     Attributes:
         at: Time in the recording, in seconds.
-        map_number: Map in force.
+        map_number: Number of the map in force.
         skew: Step-time skew of the interval under that map.
-        kept_skew: The same, had the first map been kept.
-        moves: Whether it would have begun a change.
-        reason: Why, empty between decisions.
-        expected_skew: Skew expected after the change.
+        kept_skew: Step-time skew of the interval under the first map.
+        moves: Whether the policy would have started a change.
+        reason: Reason for the decision; empty between decisions.
+        expected_skew: Expected skew after the change.
         gain_seconds: Step time that the change was expected to save.
-        cost_seconds: Its cost.
-        moved_bytes: Weights that it loads.
+        cost_seconds: Cost of the change in seconds of step time.
+        moved_bytes: Bytes of weights that the change loads.
     """
 
     at: float
@@ -89,15 +89,15 @@
     """Return the group and the samples of a recording.
 
     Raises:
-        CommandError: With ``USAGE``; it names the line that cannot be used.
+        CommandError: With ``USAGE``, naming the file and the invalid line.
     """
     try:
         lines = [line for line in path.read_bytes().splitlines() if line.strip()]
     except OSError as exc:
         raise CommandError(Code.USAGE, f"{path}: {exc.strerror}") from exc
-    group = _decoded(path, 1, lines[0] if lines else b"", RecordedGroup)
+    group = _decode_line(path, 1, lines[0] if lines else b"", RecordedGroup)
     samples = [
-        _decoded(path, number, line, RecordedSample)
+        _decode_line(path, number, line, RecordedSample)
         for number, line in enumerate(lines[1:], start=2)
     ]
     _check(path, group, samples)
@@ -107,18 +107,18 @@
 def run_policy(
     group: ModelGroup, samples: Sequence[RecordedSample], first: ExpertMap | None = None
 ) -> tuple[list[Point], list[Outcome]]:
-    """Return what the policy would have done, and what its changes would have brought.
+    """Return what the policy would have done, and the outcomes of its changes.
 
     Args:
-        group: The group with its weights.
+        group: The group and its weights.
         samples: The recording.
-        first: Map in force at its start; that of a new group where None.
+        first: Map in force at the start; the map of a new group if None.
     """
-    return _Run(group, first or _first_map(group)).play(samples)
+    return _Replay(group, first or _first_map(group)).replay(samples)
 
 
 def model_group(recorded: RecordedGroup) -> ModelGroup:
-    """Return the group of a recording as the configuration would declare it."""
+    """Return the group of a recording as a configured model group."""
     return ModelGroup(
         name=recorded.name,
         model=recorded.name,
@@ -133,15 +133,15 @@
     )
 
 
-class _Run:
-    """One pass over a recording."""
+class _Replay:
+    """One replay of a recording."""
 
     __slots__ = (
         "_clock",
         "_current",
-        "_due",
+        "_applies_at",
         "_first",
-        "_next",
+        "_next_decision_at",
         "_outcomes",
         "_pending",
         "_policy",
@@ -153,11 +153,11 @@
         self._first = first
         self._current = first
         self._pending: Rebalance | None = None
-        self._due = math.inf
-        self._next = -math.inf
+        self._applies_at = math.inf
+        self._next_decision_at = -math.inf
         self._outcomes: list[Outcome] = []
 
-    def play(self, samples: Sequence[RecordedSample]) -> tuple[list[Point], list[Outcome]]:
+    def replay(self, samples: Sequence[RecordedSample]) -> tuple[list[Point], list[Outcome]]:
         points = list(self._points(samples))
         return points, self._outcomes
 
@@ -175,7 +175,7 @@
                 yield self._point(sample, shares)
 
     def _apply(self, now: float) -> None:
-        if self._pending is None or now < self._due:
+        if self._pending is None or now < self._applies_at:
             return
         self._policy.applied(self._current, self._pending)
         self._current = self._pending.map
@@ -188,14 +188,14 @@
             skew=_skew(self._current, shares),
             kept_skew=_skew(self._first, shares),
         )
-        if sample.at < self._next:
+        if sample.at < self._next_decision_at:
             return point
-        self._next = sample.at + DECISION_SECONDS
+        self._next_decision_at = sample.at + DECISION_INTERVAL_SECONDS
         decision = self._policy.decide(self._current, _situation(sample, self._pending is not None))
-        self._note(point, decision, sample)
+        self._record_decision(point, decision, sample)
         return point
 
-    def _note(self, point: Point, decision: Decision, sample: RecordedSample) -> None:
+    def _record_decision(self, point: Point, decision: Decision, sample: RecordedSample) -> None:
         point.reason = decision.reason.value
         match decision:
             case Keep():
@@ -208,7 +208,7 @@
                 point.moved_bytes = change.bytes
                 self._pending = change
                 staging = change.bytes / sample.staging_rate
-                self._due = sample.at + max(LEAST_STAGING, staging)
+                self._applies_at = sample.at + max(MIN_STAGING_SECONDS, staging)
 
 
 def _skew(current: ExpertMap, shares: Popularity) -> float:
@@ -239,7 +239,7 @@
     )
 
 
-def _decoded(path: Path, number: int, line: bytes, kind: type[T]) -> T:
+def _decode_line(path: Path, number: int, line: bytes, kind: type[T]) -> T:
     try:
         return msgspec.json.decode(line, type=kind)
     except msgspec.DecodeError as exc:
@@ -248,13 +248,19 @@
 
 def _check(path: Path, group: RecordedGroup, samples: Sequence[RecordedSample]) -> None:
     if min(group.ranks, group.experts, group.layers) < 1 or group.spare_slots < 0:
-        raise CommandError(Code.USAGE, f"{path}, line 1: sizes must be at least 1")
+        raise CommandError(
+            Code.USAGE,
+            f"{path}, line 1: sizes must be positive, spare_slots at least 0",
+        )
     if len(samples) < 2:
-        raise CommandError(Code.USAGE, f"{path}: fewer than two samples, so nothing has grown")
+        raise CommandError(
+            Code.USAGE,
+            f"{path}: at least two samples are needed to compute the growth of the counters",
+        )
     for number, sample in enumerate(samples, start=2):
         if not sample.staging_rate > 0.0:
             raise CommandError(Code.USAGE, f"{path}, line {number}: staging_rate must be above 0")
-        whole = len(sample.counts) == group.layers
-        if not whole or any(len(row) != group.experts for row in sample.counts):
+        layers_match = len(sample.counts) == group.layers
+        if not layers_match or any(len(row) != group.experts for row in sample.counts):
             shape = f"{group.layers} layers of {group.experts} experts"
-            raise CommandError(Code.USAGE, f"{path}, line {number}: counts are not {shape}")
+            raise CommandError(Code.USAGE, f"{path}, line {number}: counts must have {shape}")
--- a/carawayhub/groups/settle.py
+++ b/carawayhub/groups/settle.py
@@ -1,4 +1,4 @@
-"""Giving the orders of one change until its verdict has reached every rank."""
+"""Sends the orders of one change until every rank has the verdict."""
 
 from collections.abc import Mapping, Sequence
 
@@ -12,8 +12,8 @@
 from carawayhub.groups.ranks import RankPort
 from carawayhub.groups.rounds import ORDER_TIMEOUT, give
 
-ASK_AGAIN = 0.02
-PAUSE_NOTICED = 3 * ORDER_TIMEOUT
+RETRY_SECONDS = 0.02
+PAUSE_THRESHOLD_SECONDS = 3 * ORDER_TIMEOUT
 
 
 async def settle(
@@ -23,47 +23,48 @@
     agree_by: float,
     lost_after: float,
 ) -> Verdict:
-    """Bring a change to its end and return the verdict.
+    """Complete a change and return the verdict.
 
-    Cancelling it, or an error, is safe at any point: whoever reads the ranks next goes on.
+    Cancellation or an error is safe at any point: the next decider that reads the ranks resumes the
+    change.
 
     Args:
         ports: All ranks in order.
-        handling: The change as far as it is known.
+        handling: The known state of the change.
         clock: Source of time.
-        agree_by: Clock reading from which the change is withdrawn if not all ranks agreed.
-        lost_after: Seconds of a rank's silence after which it counts as lost.
+        agree_by: Clock timestamp from which the change is withdrawn unless all ranks have agreed.
+        lost_after: Seconds without a reply after which a rank counts as lost.
 
     Raises:
-        GroupError: CHANGE_OVERTAKEN where a rank obeys another decider, GROUP_BROKEN where a rank
-            has left the formation, so that no step can be made under either map,
-            RANK_UNREACHABLE where a rank is lost; the others have what can be told without it.
+        GroupError: CHANGE_OVERTAKEN if a rank obeys another decider; GROUP_BROKEN if a rank has
+            left the formation, so that no step can run under either map; RANK_UNREACHABLE if a rank
+            is lost, after the other ranks were sent everything that does not depend on it.
     """
     silent_since: dict[int, float] = {}
     while not handling.settled:
         round_began = clock.monotonic()
         if round_began >= agree_by and not handling.withdrawing:
             handling = handling.withdraw()
-        known = handling
+        previous = handling
         orders = _orders(ports, handling)
         replies = await give(ports, orders)
-        handling = _learn(handling, replies)
-        # A paused process wakes with orders in mind that fitted the ranks of long ago. They could
-        # do no harm, as votes stay, but would only be refused: read the ranks first.
-        if clock.monotonic() - round_began > PAUSE_NOTICED:
-            handling = _learn(handling, await give(ports, _reads(handling)))
-        _check_heard(silent_since, orders, replies, round_began, lost_after)
-        if handling == known:
-            await anyio.sleep(ASK_AGAIN)
+        handling = _merge_replies(handling, replies)
+        # After a pause of this process its orders are based on outdated rank states. They are
+        # harmless, since ranks keep their votes, but would be rejected: read the ranks first.
+        if clock.monotonic() - round_began > PAUSE_THRESHOLD_SECONDS:
+            handling = _merge_replies(handling, await give(ports, _reads(handling)))
+        _check_silence(silent_since, orders, replies, round_began, lost_after)
+        if handling == previous:
+            await anyio.sleep(RETRY_SECONDS)
     return handling.verdict
 
 
 def _orders(ports: Sequence[RankPort], handling: Handling) -> dict[int, Order]:
-    wanted = ((port.rank, handling.order(port.rank)) for port in ports)
-    return {rank: order for rank, order in wanted if order is not None}
+    rank_orders = ((port.rank, handling.order(port.rank)) for port in ports)
+    return {rank: order for rank, order in rank_orders if order is not None}
 
 
-def _check_heard(
+def _check_silence(
     silent_since: dict[int, float],
     orders: Mapping[int, Order],
     replies: Mapping[int, Reply],
@@ -74,14 +75,14 @@
         if rank in replies:
             silent_since.pop(rank, None)
         elif now - silent_since.setdefault(rank, now) >= lost_after:
-            raise GroupError(Code.RANK_UNREACHABLE, f"rank {rank} is silent in a change")
+            raise GroupError(Code.RANK_UNREACHABLE, f"rank {rank} did not reply during a change")
 
 
 def _reads(handling: Handling) -> dict[int, Order]:
     return {rank: Read(term=handling.term) for rank in range(len(handling.votes))}
 
 
-def _learn(handling: Handling, replies: Mapping[int, Reply]) -> Handling:
+def _merge_replies(handling: Handling, replies: Mapping[int, Reply]) -> Handling:
     for rank, reply in replies.items():
         formation = reply.state.formation
         if formation is None or formation.id != handling.change.formation:
--- a/carawayhub/groups/stragglers.py
+++ b/carawayhub/groups/stragglers.py
@@ -1,8 +1,8 @@
-"""Ranks that are slow at an ordinary share of the load, told from ranks that hold hot experts.
+"""Distinguishes ranks that are slow at a normal load from ranks that hold hot experts.
 
-A rank with hot experts is busy for as long as its load explains; moving experts helps it. A rank
-that is slower than the others at the same load has a fault of its own (a throttled accelerator, a
-bad link): that is a matter of health, and routing gives the group less work until it is mended.
+The load of a rank with hot experts explains its busy time, and moving experts helps it. A rank that
+is slower than others at the same load has a fault of its own, such as a throttled accelerator or a
+bad link. That is a health problem: routing sends the group less work until it is fixed.
 """
 
 from collections.abc import Sequence
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RankTiming:
-    """What one rank spent on its own part of a step, without waiting for others.
+    """Time that one rank spends on its own part of a step, without waiting for others.
 
     Attributes:
         rank: The rank.
-        busy_seconds: Mean time of its own work in a step.
-        load: Its load with mean 1.0 over the ranks, from the map and the popularity.
+        busy_seconds: Mean time of its own work per step.
+        load: Its load, scaled to a mean of 1.0, computed from the map and the popularity.
     """
 
     rank: int
@@ -35,7 +35,7 @@
 
     Attributes:
         rank: The rank.
-        slowdown: Its time over what its load explains.
+        slowdown: Ratio of its time to the time that its load explains.
     """
 
     rank: int
@@ -43,33 +43,35 @@
 
 
 class StragglerDetector:
-    """Names a rank after several reports in a row, so that one long pause names none."""
+    """Detects stragglers over several consecutive reports, so that one long pause is ignored."""
 
-    __slots__ = ("_runs", "_slowdowns")
+    __slots__ = ("_consecutive_reports", "_slowdowns")
 
     def __init__(self) -> None:
-        self._runs: dict[int, int] = {}
+        self._consecutive_reports: dict[int, int] = {}
         self._slowdowns: dict[int, float] = {}
 
     def observe(self, timings: Sequence[RankTiming]) -> tuple[Straggler, ...]:
-        """Take one report of all ranks and return the stragglers known now."""
+        """Process one report of all ranks and return the current stragglers."""
         slowdowns = _slowdowns(timings)
-        self._runs = {rank: self._runs.get(rank, 0) + 1 for rank in slowdowns}
+        self._consecutive_reports = {
+            rank: self._consecutive_reports.get(rank, 0) + 1 for rank in slowdowns
+        }
         self._slowdowns = slowdowns
         return self.stragglers()
 
     def stragglers(self) -> tuple[Straggler, ...]:
-        """Return the stragglers known now, slowest first."""
+        """Return the current stragglers, slowest first."""
         found = [
             Straggler(rank, self._slowdowns[rank])
-            for rank, run in self._runs.items()
-            if run >= REPORTS_NEEDED
+            for rank, reports in self._consecutive_reports.items()
+            if reports >= REPORTS_NEEDED
         ]
         return tuple(sorted(found, key=lambda item: -item.slowdown))
 
 
 def routing_weight(stragglers: Sequence[Straggler]) -> float:
-    """Return the part of its usual work that a group can do, from 0 to 1.
+    """Return the fraction of its usual work that a group can do, from 0 to 1.
 
     The slowest rank sets the pace of a lock-step group.
     """
@@ -83,14 +85,14 @@
     base = median(item.busy_seconds - slope * item.load for item in timings)
     ratios = {}
     for item in timings:
-        explained = base + slope * item.load
-        if explained > 0 and item.busy_seconds > SLOWDOWN_LIMIT * explained:
-            ratios[item.rank] = item.busy_seconds / explained
+        expected_seconds = base + slope * item.load
+        if expected_seconds > 0 and item.busy_seconds > SLOWDOWN_LIMIT * expected_seconds:
+            ratios[item.rank] = item.busy_seconds / expected_seconds
     return ratios
 
 
 def _slope(timings: Sequence[RankTiming]) -> float:
-    """Return seconds per unit of load: the median over pairs, which a few slow ranks can't bend."""
+    """Return seconds per unit of load: the median over pairs, robust to a few slow ranks."""
     slopes = [
         (right.busy_seconds - left.busy_seconds) / (right.load - left.load)
         for index, left in enumerate(timings)
--- a/tests/test_rebalance_balance.py
+++ b/tests/test_rebalance_balance.py
@@ -1,4 +1,4 @@
-"""Loads, small steps and whole placements of one layer."""
+"""Tests of the loads, search steps and recomputed placements of one layer."""
 
 import random
 import unittest
@@ -40,25 +40,25 @@
 
 
 class StepTest(unittest.TestCase):
-    """Small steps."""
+    """Local search in steps."""
 
     def test_a_hot_expert_gets_a_replica_when_each_rank_has_one_expert(self) -> None:
-        """One expert of a layer draws a fifth of the tokens; all ranks wait for its rank.
+        """One expert of a layer receives a fifth of the tokens, and all ranks wait for its rank.
 
-        With one expert a rank there is nothing to exchange: a spare slot elsewhere must take a
-        second copy, and the first step must already do so.
+        With one expert per rank a swap cannot help. The first step must already put a second
+        replica into a spare slot of another rank.
         """
         shares = [0.8 / 63] * 64
         shares[5] = 0.2
         start = LayerBalance(even_row(64, 64, 1), shares, 64)
-        before = start.stage()
-        after = next(start.stages(1))
+        before = start.placement()
+        after = next(start.improve(1))
         self.assertLess(after.skew, before.skew * 0.75)
         self.assertEqual(after.fetches, 1)
 
     def test_no_step_without_skew(self) -> None:
         balance = LayerBalance(even_row(4, 8, 0), [1 / 8] * 8, 4)
-        self.assertEqual(list(balance.stages(5)), [])
+        self.assertEqual(list(balance.improve(5)), [])
 
     @settings(derandomize=True, max_examples=60, deadline=None)
     @given(
@@ -72,25 +72,26 @@
         shares = random_shares(seed, experts)
         row = even_row(ranks, experts, spare)
         slots = len(row) // ranks
-        for stage in LayerBalance(row, shares, ranks).stages(12):
-            self.assertEqual(set(stage.row), set(range(experts)))
-            self.assertAlmostEqual(stage.skew, layer_skew(stage.row, shares, ranks))
+        for placement in LayerBalance(row, shares, ranks).improve(12):
+            self.assertEqual(set(placement.row), set(range(experts)))
+            self.assertAlmostEqual(placement.skew, layer_skew(placement.row, shares, ranks))
             new = [
-                set(stage.row[r * slots : (r + 1) * slots]) - set(row[r * slots : (r + 1) * slots])
+                set(placement.row[r * slots : (r + 1) * slots])
+                - set(row[r * slots : (r + 1) * slots])
                 for r in range(ranks)
             ]
-            self.assertEqual(stage.fetches, sum(map(len, new)))
+            self.assertEqual(placement.fetches, sum(map(len, new)))
 
     def test_steps_come_near_a_whole_recomputation(self) -> None:
         shares = random_shares(11, 32)
         balance = LayerBalance(even_row(8, 32, 1), shares, 8)
-        best = min(stage.skew for stage in balance.stages(30))
-        whole = layer_skew(recomputed_row(shares, ranks=8, slots=5), shares, 8)
-        self.assertLess(best, whole + 0.05)
+        best = min(placement.skew for placement in balance.improve(30))
+        recomputed = layer_skew(recomputed_row(shares, ranks=8, slots=5), shares, 8)
+        self.assertLess(best, recomputed + 0.05)
 
 
 class RecomputeTest(unittest.TestCase):
-    """Placements made from nothing."""
+    """Placements computed from scratch."""
 
     @settings(derandomize=True, max_examples=60, deadline=None)
     @given(st.sampled_from([(4, 8, 3), (8, 32, 5), (64, 64, 2), (3, 3, 3)]), st.integers(0, 9999))
--- a/tests/test_rebalance_policy.py
+++ b/tests/test_rebalance_policy.py
@@ -1,4 +1,4 @@
-"""Whether, what and when to rebalance."""
+"""Tests of the rebalancing policy and of straggler detection."""
 
 import random
 import unittest
@@ -18,7 +18,7 @@
 
 
 class Fixture:
-    """A policy fed with seeded counters."""
+    """A policy that receives counters from a seeded generator."""
 
     def __init__(self, group: ModelGroup = GROUP, seed: int = 7) -> None:
         self.group = group
@@ -34,7 +34,7 @@
         self._counts = [[0] * group.experts for _ in range(group.layers)]
 
     def feed(self, intervals: int, hot: int | None = None, noise: float = 0.02) -> None:
-        """Feed ``intervals`` of ten seconds in which ``hot`` has five times its share."""
+        """Report ``intervals`` of ten seconds in which ``hot`` has five times its usual share."""
         for _ in range(intervals):
             self.clock.advance(10.0)
             for row in self._counts:
@@ -46,12 +46,12 @@
             self.policy.observe(ExpertCounters(source=0, taken_at=at, counts=counts))
 
     def decide(self, situation: Situation | None = None) -> Decision:
-        """Return the decision on the map in force."""
+        """Return the decision on the current map."""
         return self.policy.decide(self.map, situation or Situation())
 
 
 class WhetherTest(unittest.TestCase):
-    """Gain against cost."""
+    """Gain compared with cost."""
 
     def test_a_hot_expert_is_answered_by_a_whole_map_that_is_better(self) -> None:
         fixture = Fixture()
@@ -66,10 +66,10 @@
         self.assertEqual(decision.bytes, size)
 
     def test_noise_alone_moves_nothing(self) -> None:
-        """Counters shake by a fifth, no expert is hotter than another, the weights favour skew.
+        """Counters have 20% noise, all experts are equally popular and the weights favour skew.
 
-        Each estimate names some busiest rank, and moving its experts would seem to help: without a
-        test against the noise, bytes would be moved for ever.
+        Some rank always appears busiest by chance. Without a significance test the policy would
+        move weights indefinitely.
         """
         group = replace(GROUP, skew_weight=1.0, rebalancing_weight=0.0)
         for seed in range(5):
@@ -80,12 +80,12 @@
 
     def test_the_weights_decide(self) -> None:
         slow_store = Situation(staging_rate=300_000.0)
-        eager = Fixture(replace(GROUP, skew_weight=0.95, rebalancing_weight=0.05))
-        thrifty = Fixture(replace(GROUP, skew_weight=0.05, rebalancing_weight=0.95))
-        for fixture in (eager, thrifty):
+        skew_first = Fixture(replace(GROUP, skew_weight=0.95, rebalancing_weight=0.05))
+        cost_first = Fixture(replace(GROUP, skew_weight=0.05, rebalancing_weight=0.95))
+        for fixture in (skew_first, cost_first):
             fixture.feed(20, hot=3)
-        self.assertIsInstance(eager.decide(slow_store), Rebalance)
-        self.assertIsInstance(thrifty.decide(slow_store), Keep)
+        self.assertIsInstance(skew_first.decide(slow_store), Rebalance)
+        self.assertIsInstance(cost_first.decide(slow_store), Keep)
 
     def test_no_skew_weight_means_no_moves(self) -> None:
         fixture = Fixture(replace(GROUP, skew_weight=0.0))
@@ -95,11 +95,11 @@
     def test_what_routing_can_even_out_is_not_moved(self) -> None:
         fixture = Fixture()
         fixture.feed(20, hot=3)
-        self.assertIsInstance(fixture.decide(Situation(routable=1.0)), Keep)
+        self.assertIsInstance(fixture.decide(Situation(routing_share=1.0)), Keep)
 
 
 class WhenTest(unittest.TestCase):
-    """Times at which a map stays whatever the skew."""
+    """Situations in which the map is kept regardless of the skew."""
 
     def setUp(self) -> None:
         self.fixture = Fixture()
@@ -115,15 +115,15 @@
         self.assertIs(self.fixture.decide(Situation(staging_rate=0.0)).reason, Reason.NO_STAGING)
 
     def test_not_before_noise_is_known(self) -> None:
-        young = Fixture()
-        young.feed(3, hot=3)
-        self.assertIs(young.decide().reason, Reason.LEARNING)
+        new_fixture = Fixture()
+        new_fixture.feed(3, hot=3)
+        self.assertIs(new_fixture.decide().reason, Reason.LEARNING)
 
     def test_not_on_counters_from_before_a_pause(self) -> None:
-        """The agent is paused for ten minutes and wakes up in the middle of its loop.
+        """The agent is paused for ten minutes and resumes in the middle of its loop.
 
-        What it knows of popularity is from before; acting on it would move weights for a past that
-        may be gone. It must wait for fresh counters.
+        Its popularity estimate dates from before the pause and may no longer be valid. It must wait
+        for new counters before it moves weights.
         """
         self.fixture.clock.advance(600.0)
         self.assertIs(self.fixture.decide().reason, Reason.STALE)
@@ -131,17 +131,19 @@
         self.assertIsInstance(self.fixture.decide(), Rebalance)
 
     def test_a_surge_raises_the_price(self) -> None:
-        store = 2_000_000.0
-        while isinstance(self.fixture.decide(Situation(staging_rate=store)), Rebalance):
-            store *= 0.8
-        near = store / 0.8
-        surge = Situation(staging_rate=near, utilisation=0.95)
-        self.assertIsInstance(self.fixture.decide(Situation(staging_rate=near)), Rebalance)
+        rate = 2_000_000.0
+        while isinstance(self.fixture.decide(Situation(staging_rate=rate)), Rebalance):
+            rate *= 0.8
+        lowest_worthwhile_rate = rate / 0.8
+        surge = Situation(staging_rate=lowest_worthwhile_rate, utilisation=0.95)
+        self.assertIsInstance(
+            self.fixture.decide(Situation(staging_rate=lowest_worthwhile_rate)), Rebalance
+        )
         self.assertIsInstance(self.fixture.decide(surge), Keep)
 
 
 class MeasuredTest(unittest.TestCase):
-    """Expected gain against what came of it."""
+    """Expected gain compared with the measured gain."""
 
     def test_a_gain_that_lasts_is_measured_as_expected(self) -> None:
         fixture = Fixture()
@@ -155,9 +157,9 @@
         self.assertAlmostEqual(outcome.measured, outcome.expected, delta=0.1 * outcome.expected)
 
     def test_gains_that_fade_shorten_the_horizon(self) -> None:
-        """An expert is hot for a minute, then another: each change comes too late to pay.
+        """Another expert is hot every 200 seconds: each map change comes too late to pay off.
 
-        The policy must learn from what it measured that gains do not last here.
+        The policy must shorten its horizon based on the measured gains.
         """
         fixture = Fixture()
         first = fixture.policy.horizon
@@ -173,7 +175,7 @@
 
 
 class StragglerTest(unittest.TestCase):
-    """Slow ranks and hot experts look alike to whoever only times the steps."""
+    """Slow ranks and hot experts both lengthen the steps, but only slow ranks are stragglers."""
 
     def test_a_slow_rank_at_an_even_load_is_named(self) -> None:
         detector = StragglerDetector()
--- a/tests/test_rebalance_popularity.py
+++ b/tests/test_rebalance_popularity.py
@@ -1,4 +1,4 @@
-"""Popularity from counters that lag, have gaps and start again."""
+"""Tests of popularity estimates from counters that are delayed, lost or reset."""
 
 import random
 import unittest
@@ -26,19 +26,19 @@
         self.assertEqual(list(self.popularity.mean(0)), [0.25, 0.75])
 
     def test_a_lost_report_costs_no_tokens(self) -> None:
-        """One report of three is lost on the way.
+        """One of three reports is lost.
 
-        An estimate from differences to the last report that came must see the tokens of both
-        intervals, not only those of the last.
+        The difference from the last received report must include the tokens of both intervals, not
+        only those of the latest.
         """
         self.popularity.observe(report(10, 0, 0))
         self.popularity.observe(report(30, 90, 10))
         self.assertEqual(list(self.popularity.mean(0)), [0.9, 0.1])
 
     def test_a_restarted_engine_does_not_give_negative_shares(self) -> None:
-        """The engine restarts; its counters and its clock start again at zero.
+        """The engine restarts, and its counters and clock start again at zero.
 
-        Read as growth, the fall would make shares negative and the next decision nonsense.
+        If the decrease were taken as growth, the estimated shares would be negative.
         """
         self.popularity.observe(report(1000, 500, 500))
         self.popularity.observe(report(1010, 600, 600))
@@ -111,8 +111,8 @@
     def test_a_rise_is_planned_for_before_the_mean_has_followed(self) -> None:
         """A release makes one expert four times as popular within seconds.
 
-        For two minutes the moving mean trails behind, and a change sized by it would have to be
-        followed by another and another while every step waits for that expert's rank.
+        The moving mean lags behind for two minutes. Changes sized by it would be too small and need
+        repeating, while every step waits for that expert's rank.
         """
         popularity = self.estimate(0.03, jump_at=60)
         self.assertGreater(popularity.expected(0)[0], popularity.mean(0)[0] * 1.15)
