--- a/carawayhub/groups/loads.py
+++ b/carawayhub/groups/loads.py
@@ -57,17 +57,15 @@
     """
     layout = _layout(row, ranks)
     holders = layout.holders
-    replica_loads = [share * ranks / holders[expert] for expert, share in enumerate(shares)]
-    return [sum([replica_loads[expert] for expert in experts]) for experts in layout.held]
+    part = [share * ranks / holders[expert] for expert, share in enumerate(shares)]
+    return [sum([part[expert] for expert in experts]) for experts in layout.held]
 
 
 def load_error(row: tuple[int, ...], errors: Sequence[float], ranks: int, rank: int) -> float:
     """Return the standard error of one rank's load, given the errors of the shares."""
     layout = _layout(row, ranks)
-    replica_errors = [
-        errors[expert] * ranks / layout.holders[expert] for expert in layout.held[rank]
-    ]
-    return math.hypot(*replica_errors)
+    parts = [errors[expert] * ranks / layout.holders[expert] for expert in layout.held[rank]]
+    return math.hypot(*parts)
 
 
 def layer_skew(row: tuple[int, ...], shares: Sequence[float], ranks: int) -> float:
--- a/carawayhub/groups/outcomes.py
+++ b/carawayhub/groups/outcomes.py
@@ -85,10 +85,8 @@
         relation and at most a fifth too high.
         """
         kept_fraction = min(1.0, max(MIN_KEPT_FRACTION, measured / item.expected))
-        lost_fraction = max(1.0 - kept_fraction, MIN_LOST_FRACTION)
-        factor = min(
-            MAX_LIFETIME_FACTOR, kept_fraction * (1.0 + kept_fraction / (2.0 * lost_fraction))
-        )
+        gone = max(1.0 - kept_fraction, MIN_LOST_FRACTION)
+        factor = min(MAX_LIFETIME_FACTOR, kept_fraction * (1.0 + kept_fraction / (2.0 * gone)))
         observed_lifetime = (now - item.started) * factor
         log_lifetime = (1.0 - LEARNING_RATE) * math.log(self.lifetime(now))
         log_lifetime += LEARNING_RATE * math.log(max(1.0, observed_lifetime))
--- a/carawayhub/groups/policy.py
+++ b/carawayhub/groups/policy.py
@@ -197,8 +197,8 @@
             if not self._can_pay_off(current.layers[layer], layer, skews[layer], rates):
                 continue
             max_steps = min(remaining_steps, STEPS_PER_LAYER)
-            plan, steps_tried = self._plan_layer(current.layers[layer], layer, max_steps, rates)
-            remaining_steps -= steps_tried
+            plan, taken = self._plan_layer(current.layers[layer], layer, max_steps, rates)
+            remaining_steps -= taken
             if plan is not None:
                 plans.append(plan)
         return plans
@@ -224,8 +224,8 @@
         plan = self._best_plan(layer, start, candidates, rates)
         # Recomputing the placement is the last resort: it moves most of a layer, and no urgent
         # change can begin while the weights are staged.
-        min_value = self._group.ranks * rates.fetch_cost
-        if plan is None and slow_search and (start.skew - 1.0) * rates.skew_value > min_value:
+        least = self._group.ranks * rates.fetch_cost
+        if plan is None and slow_search and (start.skew - 1.0) * rates.skew_value > least:
             plan = self._best_plan(layer, start, [self._recomputed_placement(row, layer)], rates)
         return plan, max(1, len(candidates))
 
@@ -288,13 +288,13 @@
         No other change can begin during staging, so a large change would delay an urgent one.
         """
         seconds = self._group.expert_bytes / situation.staging_rate
-        remaining_fetches = self._options.max_staging_seconds / seconds
+        left = self._options.max_staging_seconds / seconds
         selected: list[_LayerPlan] = []
         for plan in sorted(plans, key=lambda item: -item.gain_lower_bound / max(1, item.fetches)):
-            if selected and plan.fetches > remaining_fetches:
+            if selected and plan.fetches > left:
                 continue
             selected.append(plan)
-            remaining_fetches -= plan.fetches
+            left -= plan.fetches
         return selected
 
     def _decide_from_plans(
--- a/carawayhub/groups/recompute.py
+++ b/carawayhub/groups/recompute.py
@@ -46,12 +46,8 @@
             common.update((rank, group) for rank in owners.get(expert, ()))
     chosen = _pair_ranks(sorted(common, key=lambda pair: (-common[pair], pair)))
     unpaired_groups = iter(sorted(set(range(ranks)) - set(chosen.values())))
-    group_order = [
-        chosen[rank] if rank in chosen else next(unpaired_groups) for rank in range(ranks)
-    ]
-    return tuple(
-        expert for group in group_order for expert in new[group * slots : (group + 1) * slots]
-    )
+    order = [chosen[rank] if rank in chosen else next(unpaired_groups) for rank in range(ranks)]
+    return tuple(expert for group in order for expert in new[group * slots : (group + 1) * slots])
 
 
 def _pair_ranks(pairs: Sequence[tuple[int, int]]) -> dict[int, int]:
@@ -94,5 +90,5 @@
                 heapq.heappush(free_ranks, (total + load, rank))
             break
         skipped_ranks.append((total, rank))
-    for skipped in skipped_ranks:
-        heapq.heappush(free_ranks, skipped)
+    for entry in skipped_ranks:
+        heapq.heappush(free_ranks, entry)
--- a/carawayhub/groups/settle.py
+++ b/carawayhub/groups/settle.py
@@ -45,7 +45,7 @@
         round_began = clock.monotonic()
         if round_began >= agree_by and not handling.withdrawing:
             handling = handling.withdraw()
-        previous = handling
+        known = handling
         orders = _orders(ports, handling)
         replies = await give(ports, orders)
         handling = _merge_replies(handling, replies)
@@ -54,7 +54,7 @@
         if clock.monotonic() - round_began > PAUSE_THRESHOLD_SECONDS:
             handling = _merge_replies(handling, await give(ports, _reads(handling)))
         _check_silence(silent_since, orders, replies, round_began, lost_after)
-        if handling == previous:
+        if handling == known:
             await anyio.sleep(RETRY_SECONDS)
     return handling.verdict
 
--- a/carawayhub/groups/stragglers.py
+++ b/carawayhub/groups/stragglers.py
@@ -64,8 +64,8 @@
         """Return the current stragglers, slowest first."""
         found = [
             Straggler(rank, self._slowdowns[rank])
-            for rank, reports in self._consecutive_reports.items()
-            if reports >= REPORTS_NEEDED
+            for rank, run in self._consecutive_reports.items()
+            if run >= REPORTS_NEEDED
         ]
         return tuple(sorted(found, key=lambda item: -item.slowdown))
 
