--- a/carawayhub/groups/decisions.py
+++ b/carawayhub/groups/decisions.py
@@ -30,7 +30,7 @@
     Attributes:
         draining: Whether the group or one of its endpoints is leaving.
         changing: Whether a change of its map is under way.
-        utilisation: Fraction of its capacity in use; above 1 under overload.
+        utilisation: Fraction of its capacity in use, from 0 to 1, or above 1 under overload.
         running: Number of running requests.
         step_seconds: Recent mean time of one step.
         staging_rate: Bytes per second that the weight store can deliver to this group.
