--- a/carawayhub/groups/popularity.py
+++ b/carawayhub/groups/popularity.py
@@ -189,7 +189,7 @@
 
     def _update_layer(self, index: int, shares: list[float], weight: float) -> None:
         sample_count = self._samples[index]
-        # The first samples are averaged equally; a fixed weight would overweight the first for long.
+        # The first samples are averaged equally; a fixed weight would overweight the first one.
         weight = max(weight, 1.0 / (sample_count + 1))
         old_weight = 1.0 - weight
         if sample_count:
