--- a/benchmarks/group_load.py
+++ b/benchmarks/group_load.py
@@ -31,7 +31,7 @@
     Endpoint,
     EndpointState,
     EngineProfile,
-    GroupSeat,
+    GroupMembership,
     Incarnation,
     Repeat,
     Route,
@@ -63,11 +63,11 @@
     kv_tokens=140_000,
     step=0.00455,
     step_per_request=0.00181,
-    read_rate=61_400.0,
+    prefill_rate=61_400.0,
     chunk=512,
     stride=4,
-    usual_prompt=835.0,
-    usual_answer=97.0,
+    mean_prompt_tokens=835.0,
+    mean_answer_tokens=97.0,
     experts=None,
 )
 
@@ -283,7 +283,7 @@
 
     async def _caller(self) -> None:
         arrived = anyio.current_time()
-        prompt = max(8, min(2_880, int(self.rng.expovariate(1.0 / PROFILE.usual_prompt))))
+        prompt = max(8, min(2_880, int(self.rng.expovariate(1.0 / PROFILE.mean_prompt_tokens))))
         events = max(2, min(60, round(self.rng.gauss(1.0, 0.7) * self.load.events)))
         gives_up = arrived + DEADLINE
         end = "refused"
@@ -369,7 +369,7 @@
         reading: Prompt tokens that are read.
     """
     step = PROFILE.step + PROFILE.step_per_request * writing / ranks
-    return PROFILE.stride * step + reading / ranks / PROFILE.read_rate
+    return PROFILE.stride * step + reading / ranks / PROFILE.prefill_rate
 
 
 def _call(prompt: int, events: int, left: float, *, returned: bool) -> Admitted:
@@ -422,7 +422,7 @@
         services={SERVICE: service},
         limits=CallerLimits(),
         organisations={},
-        keyed=False,
+        keys_required=False,
     )
     table.add(_ROUTE)
     return table
@@ -437,7 +437,7 @@
         failure_domain="z",
         places=PROFILE.places,
         state=EndpointState.READY,
-        seat=GroupSeat(GROUP, 1, rank, formed=True),
+        membership=GroupMembership(GROUP, 1, rank, formed=True),
     )
 
 
--- a/benchmarks/request_fleet.py
+++ b/benchmarks/request_fleet.py
@@ -22,11 +22,11 @@
 from carawayhub.addresses import Address
 from carawayhub.constants import CODE_HEADER
 from carawayhub.gateway.hello import Phase
-from carawayhub.gateway.model import Endpoint, GroupSeat, Repeat, Route
+from carawayhub.gateway.model import Endpoint, GroupMembership, Repeat, Route
 from carawayhub.gateway.ports import (
     EndpointPublished,
     EndpointRemoved,
-    Handed,
+    ForwardedContent,
     Published,
     TablePublished,
 )
@@ -192,11 +192,11 @@
             service="plain" if self.fleet.plain else "llm",
             places=self.fleet.places,
             registered=self.lifetime + 1,
-            seat=None if self.fleet.plain else self._seat(),
+            membership=None if self.fleet.plain else self._seat(),
         )
 
-    def _seat(self) -> GroupSeat:
-        return GroupSeat(
+    def _seat(self) -> GroupMembership:
+        return GroupMembership(
             f"g{self.group}",
             self.fleet.epochs[self.group],
             self.at // self.fleet.groups,
@@ -332,11 +332,11 @@
 
     revision = 0
 
-    def told_after(self, revision: int) -> bytes | None:
+    def encode_after(self, revision: int) -> bytes | None:
         """Return nothing."""
         return None
 
-    def take(self, data: bytes) -> Handed | None:
+    def take(self, data: bytes) -> ForwardedContent | None:
         """Take nothing."""
         return None
 
@@ -358,7 +358,7 @@
         """Return the first revision."""
         return 0
 
-    async def touch(self) -> None:
+    async def check_reachable(self) -> None:
         """Do nothing."""
 
 
@@ -511,7 +511,7 @@
                 return
             async with anyio.create_task_group() as entry.tasks:
                 entry.tasks.start_soon(
-                    process._gossip.tell, lambda to, data: self._carry(ip, to, data)
+                    process._gossip.send_rounds, lambda to, data: self._carry(ip, to, data)
                 )
                 entry.tasks.start_soon(process._tick)
                 entry.tasks.start_soon(self._confirm, process)
--- a/benchmarks/soak_groups.py
+++ b/benchmarks/soak_groups.py
@@ -65,11 +65,11 @@
     kv_tokens=0,
     step=0.006,
     step_per_request=0.0008,
-    read_rate=60_000.0,
+    prefill_rate=60_000.0,
     chunk=512,
     stride=6,
-    usual_prompt=800.0,
-    usual_answer=140.0,
+    mean_prompt_tokens=800.0,
+    mean_answer_tokens=140.0,
     experts=SHAPE,
 )
 
--- a/benchmarks/store_fleet.py
+++ b/benchmarks/store_fleet.py
@@ -261,7 +261,7 @@
         async def live() -> None:
             async with anyio.create_task_group() as entry.tasks:
                 entry.tasks.start_soon(
-                    process._gossip.tell, lambda to, data: self._carry(ip, to, data)
+                    process._gossip.send_rounds, lambda to, data: self._carry(ip, to, data)
                 )
                 entry.tasks.start_soon(process._follower.run)
                 entry.tasks.start_soon(process._tick)
--- a/carawayhub/gateway/desk.py
+++ b/carawayhub/gateway/desk.py
@@ -82,7 +82,7 @@
     def _organisation(
         self, table: RouteTable, route: Route, req: CallerRequest
     ) -> Organisation | None:
-        if route.public or not table.keyed:
+        if route.public or not table.keys_required:
             return None
         if self._view.age > self._most_age:
             raise RequestError(
--- a/carawayhub/gateway/directory.py
+++ b/carawayhub/gateway/directory.py
@@ -5,10 +5,10 @@
 from carawayhub.gateway.gossip import Gossip
 from carawayhub.gateway.hello import Phase
 
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 """Addresses that a caller reads of one answer."""
 
-ANSWER_SECONDS = 1.0
+ANSWER_TTL_SECONDS = 1.0
 """Seconds for which callers are asked to keep an answer. Some keep it three times as long; a
 stopping entry must serve until then, and a caller of a dead one loses up to that time."""
 
@@ -36,8 +36,8 @@
         since they still serve what needs no key and tell the rest truly when to come back.
         """
         found = self._in_phase(Phase.READY) or self._in_phase(Phase.OUT_OF_TOUCH)
-        if len(found) > MOST_ADDRESSES:
-            return self._rng.sample(found, MOST_ADDRESSES)
+        if len(found) > MAX_ADDRESSES:
+            return self._rng.sample(found, MAX_ADDRESSES)
         return found
 
     def _in_phase(self, phase: Phase) -> list[str]:
--- a/carawayhub/gateway/events.py
+++ b/carawayhub/gateway/events.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(slots=True)
-class WholeEvents:
+class EventBuffer:
     """Cuts a stream at the ends of its events.
 
     An endpoint that crashes may break off within an event. What was forwarded of it could not be
--- a/carawayhub/gateway/follower.py
+++ b/carawayhub/gateway/follower.py
@@ -10,7 +10,7 @@
 from carawayhub.clock import Clock
 from carawayhub.errors import PlatformError
 from carawayhub.gateway.freshness import ReadTimes
-from carawayhub.gateway.ports import Handed, Published, PublishedState, Source
+from carawayhub.gateway.ports import ForwardedContent, Published, PublishedState, Source
 from carawayhub.gateway.view import FleetView
 
 WATCH_SECONDS = 25.0
@@ -86,7 +86,7 @@
     FOLLOWER = "follower"
 
 
-async def _nothing_beyond(revision: int) -> Handed | None:
+async def _nothing_beyond(revision: int) -> ForwardedContent | None:
     return None
 
 
@@ -154,7 +154,7 @@
         rng: random.Random,
         times: ReadTimes,
         reads: Callable[[], bool] = lambda: True,
-        beyond: Callable[[int], Awaitable[Handed | None]] = _nothing_beyond,
+        beyond: Callable[[int], Awaitable[ForwardedContent | None]] = _nothing_beyond,
         first: bool = True,
         news_seconds: Callable[[], float] = lambda: 0.0,
     ) -> None:
@@ -438,7 +438,7 @@
                 continue
             sent_at = self._clock.monotonic()
             try:
-                await self._state.touch()
+                await self._state.check_reachable()
             except PlatformError as exc:
                 delay = await self._pause(exc, "touch", delay, sent_at)
                 continue
--- a/carawayhub/gateway/gossip.py
+++ b/carawayhub/gateway/gossip.py
@@ -15,33 +15,49 @@
 from loguru import logger
 
 from carawayhub.clock import Clock
-from carawayhub.gateway.hello import Datagram, Digest, Heard, Hello, News, PeerEntry, Phase, WorkRow
+from carawayhub.gateway.hello import (
+    Datagram,
+    Digest,
+    Hello,
+    News,
+    PeerEntry,
+    Phase,
+    ReceivedDatagram,
+    WorkRow,
+)
 from carawayhub.gateway.loads import Loads, Work
 from carawayhub.gateway.peers import Peers
 from carawayhub.gateway.retryshare import LONE_PART
-from carawayhub.gateway.telling import INTERVAL, OTHERS, OwnPlace, OwnState, Part, Teller
+from carawayhub.gateway.telling import (
+    GOSSIP_INTERVAL_SECONDS,
+    VIA_DELEGATE,
+    DatagramBuilder,
+    OwnAddress,
+    OwnState,
+    Part,
+)
 from carawayhub.limits.poison import PoisonRecords
 from carawayhub.limits.poisonnews import PoisonNews
 from carawayhub.limits.replicarate import RateRow, ReplicaRates
 
-ENTRIES_ALL_TELL_ALL = 12
+FULL_MESH_MAX_ENTRIES = 12
 """Entries up to which each tells all others. With 15 in five failure domains, 16 MB in 50 s went
 across these, most of it gossip."""
 
-INTERVALS_OF_SILENCE = 6
+PEER_TIMEOUT_INTERVALS = 6
 """Datagrams in a row that must be missing before a peer counts as gone; single ones get lost."""
 
-DIGEST_SECONDS = 1.0
+DIGEST_TTL_SECONDS = 1.0
 """Seconds for which work holds that a delegate told of and was not told again: until the next
 delegate tells."""
 
-SEED_INTERVAL = 0.5
+SEED_INTERVAL_SECONDS = 0.5
 """Seconds between two datagrams to seeds that are not known to live."""
 
-MEETING_INTERVAL = 0.15
+DISCOVERY_INTERVAL_SECONDS = 0.15
 """The same while no peer is known: an entry that starts waits for what its peers know."""
 
-LEAST_INTERVAL = 0.1
+MIN_ROUND_INTERVAL_SECONDS = 0.1
 """Seconds between two rounds of datagrams at the least, whatever there is to tell."""
 
 INCARNATION_BITS = 32
@@ -74,15 +90,15 @@
 
     __slots__ = (
         "_clock",
-        "_greet",
+        "_new_peers",
         "_loads",
         "_peers",
         "_poison_news",
         "_rates",
         "_rng",
         "_seeds",
-        "_teller",
-        "_told_at",
+        "_builder",
+        "_reported_at",
         "_urgent",
         "_wake",
         "on_loads",
@@ -93,7 +109,7 @@
 
     def __init__(
         self,
-        place: OwnPlace,
+        address: OwnAddress,
         seeds: frozenset[str],
         loads: Loads,
         records: PoisonRecords,
@@ -101,19 +117,21 @@
         clock: Clock,
         rng: random.Random,
     ) -> None:
-        self.own = OwnState(place, f"{rng.getrandbits(INCARNATION_BITS):08x}")
-        self._seeds = seeds - {place.ip}
+        self.own = OwnState(address, f"{rng.getrandbits(INCARNATION_BITS):08x}")
+        self._seeds = seeds - {address.ip}
         self._loads = loads
         self._clock = clock
         self._rng = rng
-        self._peers = Peers(place.ip, place.failure_domain)
+        self._peers = Peers(address.ip, address.failure_domain)
         self._poison_news = PoisonNews(records)
         self._rates = rates
-        self._teller = Teller(self.own, self._peers, loads, self._poison_news, rates, clock)
-        self._told_at: dict[str, float] = {}
+        self._builder = DatagramBuilder(
+            self.own, self._peers, loads, self._poison_news, rates, clock
+        )
+        self._reported_at: dict[str, float] = {}
         self._urgent = False
         self._wake = anyio.Event()
-        self._greet: set[str] = set()
+        self._new_peers: set[str] = set()
         self.on_loads = _nothing
         self.on_news = _ignore
         self.on_refusing: Callable[[list[str]], None] = _ignore_refusing
@@ -124,14 +142,14 @@
         return self.own.phase
 
     @property
-    def most_entries(self) -> int:
+    def peak_entries(self) -> int:
         """Most entries known at one time, this one among them; 0 while none was heard."""
-        return self._peers.most
+        return self._peers.peak
 
     @property
-    def news_seconds(self) -> float:
+    def propagation_seconds(self) -> float:
         """Seconds until all entries know of a choice of this one."""
-        return self._teller.news_seconds
+        return self._builder.propagation_seconds
 
     def settled_entries(self) -> int:
         """Return the most entries known at one time, 0 while it may still be growing.
@@ -140,31 +158,31 @@
         of what all may spend together, and so would each of the others after a loss of power.
         """
         settled = self._clock.monotonic() - self._peers.grown_at >= SETTLED_SECONDS
-        return self.most_entries if settled else 0
+        return self.peak_entries if settled else 0
 
-    def part_heard(self) -> float:
+    def reachable_fraction(self) -> float:
         """Return the part of all entries that this one hears of, itself among them."""
         if not self._peers and not self._seeds:
             return 1.0
         if not self.settled_entries():
             return LONE_PART
-        return self._peers.part_heard(self._clock.monotonic())
+        return self._peers.reachable_fraction(self._clock.monotonic())
 
     def add_seeds(self, seeds: frozenset[str]) -> None:
         """Say hello to further entries that may live."""
-        self._seeds |= seeds - {self.own.place.ip}
+        self._seeds |= seeds - {self.own.address.ip}
 
-    def spread(self) -> float:
+    def stale_entry_seconds(self) -> float:
         """Return the seconds for which all entries choose by the same news, times the entries."""
-        return self.news_seconds * (len(self._peers) + 1)
+        return self.propagation_seconds * (len(self._peers) + 1)
 
     def set_phase(self, phase: Phase) -> None:
         """Change what this entry says of itself, and tell it at once."""
         self.own.phase = phase
-        self._look_at_part()
-        self.tell_soon()
+        self._update_part()
+        self.send_soon()
 
-    def tell_soon(self) -> None:
+    def send_soon(self) -> None:
         """Tell all receivers at once, as what this entry knows has changed."""
         self._urgent = True
         self._wake.set()
@@ -172,13 +190,13 @@
     def is_reader(self) -> bool:
         """Return whether this entry reads the published state for the others."""
         fits = self.phase in (Phase.STARTING, Phase.READY) and self.own.news().reads
-        return fits and self.own.place.ip in self._peers.readers(own_fits=True)
+        return fits and self.own.address.ip in self._peers.readers(own_fits=True)
 
-    def peers_beyond(self, revision: int) -> list[str]:
+    def peers_ahead_of(self, revision: int) -> list[str]:
         """Return the peers that know more than ``revision``, those of the own domain first."""
-        found = self._peers.beyond(revision)
+        found = self._peers.ahead_of(revision)
         self._rng.shuffle(found)
-        found.sort(key=lambda each: each.failure_domain != self.own.place.failure_domain)
+        found.sort(key=lambda each: each.failure_domain != self.own.address.failure_domain)
         return [each.ip for each in found]
 
     def entries(self, phase: Phase) -> list[PeerEntry]:
@@ -187,30 +205,30 @@
 
     async def run(self) -> None:
         """Exchange news until cancelled."""
-        place = self.own.place
+        address = self.own.address
         async with (
             await anyio.create_udp_socket(
-                family=socket.AF_INET, local_host=place.ip, local_port=place.port
+                family=socket.AF_INET, local_host=address.ip, local_port=address.port
             ) as sock,
             anyio.create_task_group() as tasks,
         ):
 
             async def send(ip: str, data: bytes) -> None:
                 try:
-                    await sock.sendto(data, ip, place.port)
+                    await sock.sendto(data, ip, address.port)
                 except OSError as exc:
                     logger.bind(peer=ip, error=str(exc)).warning("datagram could not be sent")
 
             tasks.start_soon(self._receive, sock)
-            tasks.start_soon(self.tell, send)
+            tasks.start_soon(self.send_rounds, send)
 
     async def _receive(self, sock: anyio.abc.UDPSocket) -> None:
         async for data, _ in sock:
-            heard = self.read(data)
-            if heard is not None:
-                self.take(heard)
+            received = self.read(data)
+            if received is not None:
+                self.take(received)
 
-    def read(self, data: bytes) -> Heard | None:
+    def read(self, data: bytes) -> ReceivedDatagram | None:
         """Return what a datagram says, None where it cannot be read."""
         try:
             datagram = msgspec.msgpack.decode(data, type=Datagram)
@@ -220,118 +238,122 @@
         except (msgspec.DecodeError, ValueError) as exc:
             logger.bind(error=str(exc)).warning("datagram of a peer cannot be read")
             return None
-        return Heard(datagram.answers_run, datagram.answers, hello, phase, digest, datagram.ends)
+        return ReceivedDatagram(
+            datagram.answers_run, datagram.answers, hello, phase, digest, datagram.ends
+        )
 
-    def take(self, heard: Heard) -> None:
+    def take(self, received: ReceivedDatagram) -> None:
         """Take in what a peer said; datagrams may overtake each other and come twice."""
-        if heard.hello.ip == self.own.place.ip:
+        if received.hello.ip == self.own.address.ip:
             return
-        if self._peers.is_news(heard.hello):
-            self._take_entry(heard.hello, heard.phase)
-            self._take_works(heard)
+        if self._peers.is_newer(received.hello):
+            self._apply_hello(received.hello, received.phase)
+            self._apply_works(received)
             self.on_loads()
-        self._take_news(heard)
-        self._poison_news.records.take(heard.ends)
+        self._apply_news(received)
+        self._poison_news.records.take(received.ends)
 
-    def _take_entry(self, hello: Hello, phase: Phase) -> None:
-        silence = INTERVALS_OF_SILENCE * max(INTERVAL, hello.interval)
-        if self._peers.heard(hello, phase, self._clock.monotonic(), silence):
-            self._greet.add(hello.ip)
+    def _apply_hello(self, hello: Hello, phase: Phase) -> None:
+        timeout = PEER_TIMEOUT_INTERVALS * max(GOSSIP_INTERVAL_SECONDS, hello.interval)
+        if self._peers.record_hello(hello, phase, self._clock.monotonic(), timeout):
+            self._new_peers.add(hello.ip)
             self._wake.set()
-        self._meet(hello.peers)
-        self._look_at_part()
+        self._add_unknown(hello.peers)
+        self._update_part()
 
-    def _take_works(self, heard: Heard) -> None:
+    def _apply_works(self, received: ReceivedDatagram) -> None:
         """Take in work of a peer, or what a delegate tells for others.
 
         Each request is told of by one teller alone, whatever this entry's part is.
         """
-        hello, digest = heard.hello, heard.digest
-        near = hello.failure_domain == self.own.place.failure_domain
-        match self._teller.part:
+        hello, digest = received.hello, received.digest
+        near = hello.failure_domain == self.own.address.failure_domain
+        match self._builder.part:
             case Part.EQUAL:
-                self._take_from(hello.ip, hello.works, hello.refusing)
-                self._take_rates(hello.ip, hello.rates, heard)
+                self._apply_reported(hello.ip, hello.works, hello.refusing)
+                self._apply_rates(hello.ip, hello.rates, received)
             case Part.DELEGATE if near:
-                self._take_from(hello.ip, hello.works, hello.refusing)
-                self._take_rates(hello.ip, hello.rates, heard)
+                self._apply_reported(hello.ip, hello.works, hello.refusing)
+                self._apply_rates(hello.ip, hello.rates, received)
             case Part.DELEGATE if digest is not None:
-                self._take_digest(hello.failure_domain, digest)
-                self._take_rates(hello.failure_domain, digest.rates, heard)
-            case Part.MEMBER if digest is not None and hello.ip == self._teller.delegate():
-                self._take_digest(OTHERS, digest)
-                self._take_rates(OTHERS, digest.rates, heard)
-
-    def _take_digest(self, teller: str, digest: Digest) -> None:
-        self._take_from(teller, digest.works, digest.refusing)
+                self._apply_digest(hello.failure_domain, digest)
+                self._apply_rates(hello.failure_domain, digest.rates, received)
+            case Part.MEMBER if digest is not None and hello.ip == self._builder.delegate():
+                self._apply_digest(VIA_DELEGATE, digest)
+                self._apply_rates(VIA_DELEGATE, digest.rates, received)
+
+    def _apply_digest(self, reporter: str, digest: Digest) -> None:
+        self._apply_reported(reporter, digest.works, digest.refusing)
         if digest.members is None:
             return
-        domain = None if teller == OTHERS else teller
-        self._peers.heard_of(digest.members, domain, self._clock.monotonic())
-        self._look_at_part()
+        domain = None if reporter == VIA_DELEGATE else reporter
+        self._peers.record_members(digest.members, domain, self._clock.monotonic())
+        self._update_part()
 
-    def _take_from(self, teller: str, rows: Sequence[WorkRow], refusing: list[str]) -> None:
+    def _apply_reported(self, reporter: str, rows: Sequence[WorkRow], refusing: list[str]) -> None:
         self._loads.heard(
-            teller, {row.key: Work(row.requests, row.reading, row.tokens) for row in rows}
+            reporter, {row.key: Work(row.requests, row.reading, row.tokens) for row in rows}
         )
-        self._told_at[teller] = self._clock.monotonic()
-        self.own.told_refusing[teller] = refusing
+        self._reported_at[reporter] = self._clock.monotonic()
+        self.own.told_refusing[reporter] = refusing
         if refusing:
             self.on_refusing(refusing)
 
-    def _take_rates(self, teller: str, rows: Sequence[RateRow], heard: Heard) -> None:
+    def _apply_rates(
+        self, reporter: str, rows: Sequence[RateRow], received: ReceivedDatagram
+    ) -> None:
         """Take in limits of replicas; their age is counted as that of news is."""
-        written_at = self._answered_at(heard)
+        written_at = self._answered_at(received)
         if written_at is not None and rows:
-            self._rates.heard(teller, rows, written_at)
+            self._rates.heard(reporter, rows, written_at)
 
-    def _answered_at(self, heard: Heard) -> float | None:
+    def _answered_at(self, received: ReceivedDatagram) -> float | None:
         """Return a moment that is not after the writing of a datagram, None where none is known."""
-        if heard.answers_run != self.own.incarnation:
+        if received.answers_run != self.own.incarnation:
             return None
-        return self._teller.sent_at(heard.answers)
+        return self._builder.sent_at(received.answers)
 
-    def _take_news(self, heard: Heard) -> None:
+    def _apply_news(self, received: ReceivedDatagram) -> None:
         """Take in what a peer knows of the published state.
 
         How long a datagram was on its way cannot be seen: it may have waited here while this VM
         was suspended. So its age is counted from when this entry sent the datagram that the peer
         answers to, which was before the peer wrote its answer.
         """
-        if heard.answers_run != self.own.incarnation:
+        if received.answers_run != self.own.incarnation:
             return
-        self._poison_news.heard(heard.hello.ip, heard.hello.incarnation, heard.answers)
-        sent_at = self._answered_at(heard)
+        self._poison_news.heard(received.hello.ip, received.hello.incarnation, received.answers)
+        sent_at = self._answered_at(received)
         if sent_at is not None:
-            self.on_news(heard.hello.news, sent_at - heard.hello.news.age)
+            self.on_news(received.hello.news, sent_at - received.hello.news.age)
 
-    def _meet(self, ips: list[str]) -> None:
+    def _add_unknown(self, ips: list[str]) -> None:
         """Say hello to entries that a peer hears and this one does not."""
-        unknown = frozenset(ips) - frozenset(self._peers.ips()) - {self.own.place.ip}
+        unknown = frozenset(ips) - frozenset(self._peers.ips()) - {self.own.address.ip}
         self._seeds |= unknown
 
-    def _look_at_part(self) -> None:
+    def _update_part(self) -> None:
         """See whether this entry tells for others now; what it was told so far ends with a change.
 
         Kept, a request would count twice: from its own entry and from a delegate.
         """
         part = Part.EQUAL
-        if self.most_entries > ENTRIES_ALL_TELL_ALL:
-            is_delegate = self._teller.delegate() == self.own.place.ip
+        if self.peak_entries > FULL_MESH_MAX_ENTRIES:
+            is_delegate = self._builder.delegate() == self.own.address.ip
             part = Part.DELEGATE if is_delegate else Part.MEMBER
-        if part is self._teller.part:
+        if part is self._builder.part:
             return
         logger.bind(part=part.value, entries=len(self._peers) + 1).info("part in the exchange")
-        self._teller.part = part
-        for teller in self._loads.tellers():
-            self._forget_teller(teller)
+        self._builder.part = part
+        for reporter in self._loads.tellers():
+            self._forget_reporter(reporter)
 
-    def _forget_teller(self, teller: str) -> None:
-        self._loads.forget(teller)
-        self._told_at.pop(teller, None)
-        self.own.told_refusing.pop(teller, None)
+    def _forget_reporter(self, reporter: str) -> None:
+        self._loads.forget(reporter)
+        self._reported_at.pop(reporter, None)
+        self.own.told_refusing.pop(reporter, None)
 
-    async def tell(self, send: Send) -> None:
+    async def send_rounds(self, send: Send) -> None:
         """Tell receivers and seeds in turn until cancelled.
 
         Args:
@@ -341,12 +363,12 @@
         while True:
             urgent, self._urgent = self._urgent, False
             self._drop_silent()
-            datagrams = self._teller.round(urgent=urgent)
+            datagrams = self._builder.round(urgent=urgent)
             now = self._clock.monotonic()
             if now >= seeds_due:
                 unknown = self._seeds - frozenset(self._peers.ips())
-                datagrams |= self._teller.greeting(unknown)
-                pause = SEED_INTERVAL if self._peers else MEETING_INTERVAL
+                datagrams |= self._builder.introductions(unknown)
+                pause = SEED_INTERVAL_SECONDS if self._peers else DISCOVERY_INTERVAL_SECONDS
                 seeds_due = now + pause * self._rng.uniform(0.5, 1.0)
             for ip, data in datagrams.items():
                 await send(ip, data)
@@ -359,13 +381,13 @@
         it from the store.
         """
         began_at = self._clock.monotonic()
-        due_at = began_at + self._teller.interval * self._rng.uniform(0.9, 1.1)
+        due_at = began_at + self._builder.interval * self._rng.uniform(0.9, 1.1)
         while (now := self._clock.monotonic()) < due_at:
-            until = began_at + LEAST_INTERVAL if self._urgent else due_at
+            until = began_at + MIN_ROUND_INTERVAL_SECONDS if self._urgent else due_at
             if now >= until:
                 return
-            met, self._greet = self._greet, set()
-            for ip, data in self._teller.greeting(met).items():
+            new_peers, self._new_peers = self._new_peers, set()
+            for ip, data in self._builder.introductions(new_peers).items():
                 await send(ip, data)
             with anyio.move_on_after(until - now):
                 await self._wake.wait()
@@ -376,15 +398,15 @@
         gone = self._peers.silent(now)
         for ip in gone:
             self._seeds |= {ip}
-            self._forget_teller(ip)
+            self._forget_reporter(ip)
         self._peers.drop(gone, "silent", now)
         self._poison_news.keep(frozenset(self._peers.ips()))
-        if self._teller.part is not Part.EQUAL:
-            late = [each for each, at in self._told_at.items() if now - at > DIGEST_SECONDS]
-            for teller in late:
-                self._forget_teller(teller)
+        if self._builder.part is not Part.EQUAL:
+            late = [each for each, at in self._reported_at.items() if now - at > DIGEST_TTL_SECONDS]
+            for reporter in late:
+                self._forget_reporter(reporter)
         if gone:
-            self._look_at_part()
+            self._update_part()
 
 
 def _digest(datagram: Datagram) -> Digest | None:
--- a/carawayhub/gateway/handing.py
+++ b/carawayhub/gateway/handing.py
@@ -11,19 +11,19 @@
 
 from carawayhub.errors import PlatformError
 from carawayhub.gateway.gossip import Gossip
-from carawayhub.gateway.ports import Handed, Mirror
+from carawayhub.gateway.ports import ForwardedContent, Mirror
 from carawayhub.peers.pace import LinkPace
 from carawayhub.peers.questions import Answer, Question, QuestionLink
 
 PUBLISHED = "published"
 """Subject of the question for what was published beyond a revision."""
 
-ASKED_PEERS = 2
+MAX_PEERS_ASKED = 2
 """Peers that are asked one after the other. Where two that know more do not answer, the network is
 the trouble, and the store may be within reach."""
 
 
-class Handing:
+class ContentForwarder:
     """Hands published content on to peers and takes it from them.
 
     Args:
@@ -45,18 +45,18 @@
         """Answer peers until cancelled."""
         await self._link.run()
 
-    async def beyond(self, revision: int) -> Handed | None:
+    async def fetch_after(self, revision: int) -> ForwardedContent | None:
         """Return what peers know beyond a revision, None where none can tell."""
-        for ip in self._gossip.peers_beyond(revision)[:ASKED_PEERS]:
+        for ip in self._gossip.peers_ahead_of(revision)[:MAX_PEERS_ASKED]:
             answer = await self._link.ask(ip, PUBLISHED, msgspec.msgpack.encode(revision))
             if answer is None or not answer.ok:
                 continue
-            handed = self._taken(answer.content, ip)
+            handed = self._decode_content(answer.content, ip)
             if handed is not None:
                 return handed
         return None
 
-    def _taken(self, content: bytes, ip: str) -> Handed | None:
+    def _decode_content(self, content: bytes, ip: str) -> ForwardedContent | None:
         try:
             return self._mirror.take(content)
         except PlatformError as exc:
@@ -70,7 +70,7 @@
         content: bytes | None = None
         try:
             revision = msgspec.msgpack.decode(question.content, type=int)
-            content = self._mirror.told_after(revision)
+            content = self._mirror.encode_after(revision)
         except msgspec.DecodeError as exc:
             logger.bind(peer=ip, error=str(exc)).warning("question of a peer cannot be read")
         return Answer(
--- a/carawayhub/gateway/hello.py
+++ b/carawayhub/gateway/hello.py
@@ -132,7 +132,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class ReceivedDatagram:
     """A datagram that could be read.
 
     Attributes:
@@ -176,11 +176,11 @@
     phase: Phase
     callers: str
     failure_domain: str
-    silent_at: float
+    expires_at: float
     revision: int
     reads: bool
     heard_at: float
-    told_until: float = float("-inf")
+    reported_until: float = float("-inf")
 
     def row(self) -> MemberRow:
         """Return what others are told of it."""
--- a/carawayhub/gateway/model.py
+++ b/carawayhub/gateway/model.py
@@ -9,9 +9,9 @@
 
 from carawayhub.addresses import Address
 
-LEAST_SILENCE = 2.0
-TARGETS_OF_SILENCE = 4.0
-GAPS_OF_SILENCE = 8.0
+MIN_STREAM_TIMEOUT_SECONDS = 2.0
+STREAM_TIMEOUT_TARGETS = 4.0
+STREAM_TIMEOUT_GAPS = 8.0
 """Silence after which callers abandon a stream: seconds, targets and gaps, the longest of them."""
 
 
@@ -76,13 +76,13 @@
     shares: tuple[Share, ...]
 
     @property
-    def silence(self) -> float:
+    def stream_timeout(self) -> float:
         """Seconds without an event after which callers abandon a stream, before its first as well.
 
         Ending one sooner would cut an answer that may still come.
         """
-        longest = max(LEAST_SILENCE, TARGETS_OF_SILENCE * self.target)
-        return max(longest, GAPS_OF_SILENCE * self.gap)
+        longest = max(MIN_STREAM_TIMEOUT_SECONDS, STREAM_TIMEOUT_TARGETS * self.target)
+        return max(longest, STREAM_TIMEOUT_GAPS * self.gap)
 
     @property
     def repeatable(self) -> bool:
@@ -117,11 +117,11 @@
     kv_tokens: int
     step: float
     step_per_request: float
-    read_rate: float
+    prefill_rate: float
     chunk: int
     stride: int
-    usual_prompt: float
-    usual_answer: float
+    mean_prompt_tokens: float
+    mean_answer_tokens: float
     experts: "ExpertShape | None"
 
 
@@ -211,7 +211,7 @@
     services: Mapping[str, Service]
     limits: CallerLimits
     organisations: Mapping[str, Organisation]
-    keyed: bool
+    keys_required: bool
     _by_host: dict[str, dict[str, Route]] = field(default_factory=dict)
 
     def add(self, route: Route) -> None:
@@ -259,7 +259,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GroupSeat:
+class GroupMembership:
     """The place of a replica in a lock-step group.
 
     Attributes:
@@ -300,7 +300,7 @@
     failure_domain: str
     places: int
     state: EndpointState
-    seat: GroupSeat | None = None
+    membership: GroupMembership | None = None
     registered: int = 0
 
 
--- a/carawayhub/gateway/peers.py
+++ b/carawayhub/gateway/peers.py
@@ -7,20 +7,20 @@
 
 from carawayhub.gateway.hello import Hello, MemberRow, PeerEntry, Phase
 
-READERS = 2
+READER_COUNT = 2
 """Entries that read the published state for all, in different failure domains. With one, its loss
 would leave all without proofs until another takes over; a third added calls alone."""
 
-MEMBER_SECONDS = 3.0
+REPORTED_PEER_TTL_SECONDS = 3.0
 """Seconds after which an entry counts as gone that only a delegate told of and names no more: a
 few of the lists of members that it tells."""
 
 
-MISSED_SECONDS = 20.0
+MISSING_TTL_SECONDS = 20.0
 """Seconds for which an entry that is gone is held to send requests still, while most others are
 heard: it may only be cut off from this one."""
 
-HEARD_SECONDS = 0.7
+DIRECT_CONTACT_SECONDS = 0.7
 """Seconds since an entry was heard itself after which a delegate is believed that does not name it:
 a little more than those after which the delegate finds its silence."""
 
@@ -37,14 +37,14 @@
         grown_at: When that grew last.
     """
 
-    __slots__ = ("_by_ip", "_domain", "_ip", "_missed", "grown_at", "most")
+    __slots__ = ("_by_ip", "_domain", "_ip", "_missing", "grown_at", "peak")
 
     def __init__(self, ip: str, failure_domain: str) -> None:
         self._ip = ip
         self._domain = failure_domain
         self._by_ip: dict[str, PeerEntry] = {}
-        self._missed: dict[str, float] = {}
-        self.most = 0
+        self._missing: dict[str, float] = {}
+        self.peak = 0
         self.grown_at = float("-inf")
 
     def __len__(self) -> int:
@@ -62,24 +62,24 @@
         """Return all peers."""
         return self._by_ip.values()
 
-    def near(self) -> list[PeerEntry]:
+    def in_own_domain(self) -> list[PeerEntry]:
         """Return the peers of this entry's failure domain."""
         return [each for each in self._by_ip.values() if each.failure_domain == self._domain]
 
-    def is_news(self, hello: Hello) -> bool:
+    def is_newer(self, hello: Hello) -> bool:
         """Return whether a datagram says something new; datagrams may overtake each other."""
         known = self._by_ip.get(hello.ip)
         if known is None or known.incarnation != hello.incarnation:
             return True
         return hello.number > known.number
 
-    def heard(self, hello: Hello, phase: Phase, now: float, silence: float) -> bool:
+    def record_hello(self, hello: Hello, phase: Phase, now: float, timeout: float) -> bool:
         """Note what a peer says of itself; return whether this run of it was not heard before."""
         known = self._by_ip.get(hello.ip)
-        until = now + silence
+        until = now + timeout
         if known is not None and known.incarnation == hello.incarnation:
             # A delegate that told of it vouches for it longer than its own greeting does.
-            until = max(until, known.told_until)
+            until = max(until, known.reported_until)
         self._put(
             PeerEntry(
                 hello.ip,
@@ -97,7 +97,7 @@
         )
         return known is None or not known.number or known.incarnation != hello.incarnation
 
-    def heard_of(self, rows: Iterable[MemberRow], domain: str | None, now: float) -> None:
+    def record_members(self, rows: Iterable[MemberRow], domain: str | None, now: float) -> None:
         """Note which entries a delegate tells of; those that it does not name are gone.
 
         Args:
@@ -109,20 +109,20 @@
         for row in rows:
             named.add(row.ip)
             if row.ip != self._ip:
-                self._put(self._told(row, now), now)
+                self._put(self._reported_entry(row, now), now)
         gone = [
             each.ip
             for each in self._by_ip.values()
             if each.ip not in named
             and domain in (None, each.failure_domain)
-            and now - each.heard_at > HEARD_SECONDS
+            and now - each.heard_at > DIRECT_CONTACT_SECONDS
         ]
         self.drop(gone, "not named any more", now)
 
-    def _told(self, row: MemberRow, now: float) -> PeerEntry:
+    def _reported_entry(self, row: MemberRow, now: float) -> PeerEntry:
         known = self._by_ip.get(row.ip)
         number, revision, heard_at = 0, 0, float("-inf")
-        until = now + MEMBER_SECONDS
+        until = now + REPORTED_PEER_TTL_SECONDS
         if known is not None and known.incarnation == row.incarnation:
             number, revision, heard_at = known.number, known.revision, known.heard_at
         return PeerEntry(
@@ -142,9 +142,9 @@
     def _put(self, entry: PeerEntry, now: float) -> None:
         known = self._by_ip.get(entry.ip)
         self._by_ip[entry.ip] = entry
-        self._missed.pop(entry.ip, None)
-        if len(self._by_ip) + 1 > self.most:
-            self.most = len(self._by_ip) + 1
+        self._missing.pop(entry.ip, None)
+        if len(self._by_ip) + 1 > self.peak:
+            self.peak = len(self._by_ip) + 1
             self.grown_at = now
         changed = known is None or (known.phase, known.incarnation) != (
             entry.phase,
@@ -153,42 +153,42 @@
         if changed:
             logger.bind(peer=entry.ip, phase=entry.phase.name).info("peer heard")
 
-    def part_heard(self, now: float) -> float:
+    def reachable_fraction(self, now: float) -> float:
         """Return the part of all entries that is heard of, this one among them.
 
         Entries that are gone count as cut off for some time, and for as long as fewer are heard
         than missed: who hears nobody is more likely to be cut off itself than to be alone.
         """
-        self._forget_missed(now)
-        heard = len(self._by_ip) + 1
-        return heard / (heard + len(self._missed))
+        self._forget_missing(now)
+        reachable = len(self._by_ip) + 1
+        return reachable / (reachable + len(self._missing))
 
-    def _forget_missed(self, now: float) -> None:
-        if len(self._by_ip) + 1 > len(self._missed):
-            oldest = now - MISSED_SECONDS
-            self._missed = {ip: at for ip, at in self._missed.items() if at > oldest}
+    def _forget_missing(self, now: float) -> None:
+        if len(self._by_ip) + 1 > len(self._missing):
+            oldest = now - MISSING_TTL_SECONDS
+            self._missing = {ip: at for ip, at in self._missing.items() if at > oldest}
 
     def drop(self, ips: Iterable[str], reason: str, now: float) -> None:
         """Forget peers that are gone."""
         # Nobody may ask for the part for weeks, in which replaced entries would outnumber the rest.
-        self._forget_missed(now)
+        self._forget_missing(now)
         for ip in ips:
             gone = self._by_ip.pop(ip)
             if gone.phase is not Phase.LEAVING:
-                self._missed[ip] = now
+                self._missing[ip] = now
             logger.bind(peer=ip, phase=gone.phase.name, reason=reason).warning("peer is gone")
 
     def silent(self, now: float) -> list[str]:
         """Return the peers that count as gone."""
-        return [each.ip for each in self._by_ip.values() if each.silent_at <= now]
+        return [each.ip for each in self._by_ip.values() if each.expires_at <= now]
 
     def in_phase(self, phase: Phase, now: float) -> list[PeerEntry]:
         """Return the peers that live and say this of themselves."""
         return [
-            each for each in self._by_ip.values() if each.phase is phase and each.silent_at > now
+            each for each in self._by_ip.values() if each.phase is phase and each.expires_at > now
         ]
 
-    def beyond(self, revision: int) -> list[PeerEntry]:
+    def ahead_of(self, revision: int) -> list[PeerEntry]:
         """Return the peers that know more than a revision."""
         return [each for each in self._by_ip.values() if each.revision > revision]
 
@@ -209,7 +209,7 @@
         ]
         if own_fits:
             candidates.append((self._domain, self._ip))
-        return first_of_domains(candidates, READERS)
+        return pick_across_domains(candidates, READER_COUNT)
 
     def delegate(self, leaving: bool) -> str:
         """Return the entry that tells for this one's failure domain, empty where there is none.
@@ -217,12 +217,12 @@
         Args:
             leaving: Whether this entry stops.
         """
-        fit = [each.ip for each in self.near() if each.phase is not Phase.LEAVING]
+        fit = [each.ip for each in self.in_own_domain() if each.phase is not Phase.LEAVING]
         if not leaving:
             fit.append(self._ip)
         return min(fit, default="")
 
-    def far_delegates(self) -> list[str]:
+    def other_delegates(self) -> list[str]:
         """Return the entries that tell for the other failure domains."""
         by_domain: dict[str, list[str]] = {}
         for each in self._by_ip.values():
@@ -231,7 +231,7 @@
         return [min(ips) for ips in by_domain.values()]
 
 
-def first_of_domains(entries: Sequence[tuple[str, str]], count: int) -> frozenset[str]:
+def pick_across_domains(entries: Sequence[tuple[str, str]], count: int) -> frozenset[str]:
     """Return the entries that act for all: the first of each failure domain, then the second ones.
 
     Args:
--- a/carawayhub/gateway/pool.py
+++ b/carawayhub/gateway/pool.py
@@ -445,7 +445,11 @@
     Only those count that say themselves that it does not: the entry of a rank that ended stays for
     some seconds and says what it said before.
     """
-    seats = [each.seat for each in still if each.seat is not None and not each.seat.formed]
+    seats = [
+        each.membership
+        for each in still
+        if each.membership is not None and not each.membership.formed
+    ]
     ranks = Counter((seat.group, seat.size) for seat in seats)
     return any(size and count >= size for (_, size), count in ranks.items())
 
@@ -455,4 +459,4 @@
     left = call.ends_at - now
     if call.route.repeat is not Repeat.STREAM:
         return left
-    return min(left, call.arrived_at + call.route.silence - START_SECONDS - now)
+    return min(left, call.arrived_at + call.route.stream_timeout - START_SECONDS - now)
--- a/carawayhub/gateway/ports.py
+++ b/carawayhub/gateway/ports.py
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Handed:
+class ForwardedContent:
     """Published content that a peer handed on.
 
     Attributes:
@@ -100,10 +100,10 @@
 
     revision: int
 
-    def told_after(self, revision: int) -> bytes | None:
+    def encode_after(self, revision: int) -> bytes | None:
         """Return what is known beyond a revision, None where nothing is or it is too much."""
 
-    def take(self, data: bytes) -> Handed | None:
+    def take(self, data: bytes) -> ForwardedContent | None:
         """Take in what a peer told; return it, None where nothing of it is new.
 
         Raises:
@@ -146,7 +146,7 @@
             PlatformError: PLATFORM_UNREACHABLE.
         """
 
-    async def touch(self) -> None:
+    async def check_reachable(self) -> None:
         """See whether the state can be read at all, at a fraction of a read's price.
 
         Raises:
--- a/carawayhub/gateway/process.py
+++ b/carawayhub/gateway/process.py
@@ -16,11 +16,11 @@
 from carawayhub.gateway.app import GatewayApp
 from carawayhub.gateway.calls import CallerWire
 from carawayhub.gateway.desk import Desk
-from carawayhub.gateway.directory import ANSWER_SECONDS, EntryDirectory
+from carawayhub.gateway.directory import ANSWER_TTL_SECONDS, EntryDirectory
 from carawayhub.gateway.follower import Follower
 from carawayhub.gateway.freshness import Bounds, read_times
 from carawayhub.gateway.gossip import Gossip
-from carawayhub.gateway.handing import Handing
+from carawayhub.gateway.handing import ContentForwarder
 from carawayhub.gateway.health import Health
 from carawayhub.gateway.hello import News, Phase
 from carawayhub.gateway.loads import Loads, work_key
@@ -29,8 +29,8 @@
 from carawayhub.gateway.ports import PublishedState
 from carawayhub.gateway.relay import GatewayRelay, RelayParts
 from carawayhub.gateway.retryshare import RetryShare
-from carawayhub.gateway.tally import LimitsMet, Tally, ViewSeen
-from carawayhub.gateway.telling import OwnPlace
+from carawayhub.gateway.tally import ReplicaLimits, Tally, ViewStatus
+from carawayhub.gateway.telling import OwnAddress
 from carawayhub.gateway.view import FleetView
 from carawayhub.http import ConnectionLimits, HttpServer, bind
 from carawayhub.limits.poison import PoisonRecords
@@ -152,8 +152,8 @@
         self._tally = Tally(
             lambda: self._view.unreadable_entries, self._limits_met, self._view_seen
         )
-        self._view.on_table = self._tally.table_in_force
-        own = OwnPlace(
+        self._view.on_table = self._tally.table_applied
+        own = OwnAddress(
             ip=options.ip,
             port=options.peer_port,
             callers=str(options.callers),
@@ -166,7 +166,7 @@
         self._gossip = Gossip(
             own, options.seeds, self._loads, self._records, self._rates, clock, rng
         )
-        self._handing = Handing(
+        self._handing = ContentForwarder(
             options.ip,
             options.content_port,
             state.mirror,
@@ -180,11 +180,11 @@
             rng,
             read_times(options.bounds),
             self._gossip.is_reader,
-            self._handing.beyond,
+            self._handing.fetch_after,
             first=options.ip in options.seeds,
-            news_seconds=lambda: self._gossip.news_seconds,
+            news_seconds=lambda: self._gossip.propagation_seconds,
         )
-        self._follower.on_grown = self._gossip.tell_soon
+        self._follower.on_grown = self._gossip.send_soon
         self._gossip.on_loads = self._serve_lines
         self._gossip.own.news = self._news
         self._gossip.on_news = self._take_news
@@ -237,10 +237,10 @@
                 self._clock,
                 self._rng,
                 retries,
-                self._gossip.spread,
-                lambda: self._gossip.news_seconds,
+                self._gossip.stale_entry_seconds,
+                lambda: self._gossip.propagation_seconds,
                 self._rates,
-                self._gossip.part_heard,
+                self._gossip.reachable_fraction,
             )
         return found
 
@@ -276,7 +276,7 @@
         logger.info("stopping, out of the directories")
         self._gossip.set_phase(Phase.LEAVING)
         kept_until = min(
-            stop_at + KEPT_TIMES * ANSWER_SECONDS, stop_at + self._options.grace * LAST_CALL
+            stop_at + KEPT_TIMES * ANSWER_TTL_SECONDS, stop_at + self._options.grace * LAST_CALL
         )
         await anyio.sleep(max(0.0, kept_until - self._clock.monotonic()))
         self._app.closing = True
@@ -364,14 +364,14 @@
         for pool in self._pools.values():
             pool.look_at_groups()
 
-    def _limits_met(self) -> LimitsMet:
+    def _limits_met(self) -> ReplicaLimits:
         held_back = sum(each.held_back for each in self._pools.values())
-        return LimitsMet(self._rates.limits(), held_back)
+        return ReplicaLimits(self._rates.limits(), held_back)
 
-    def _view_seen(self) -> ViewSeen:
+    def _view_seen(self) -> ViewStatus:
         view = self._view
         version = view.table.version if view.table is not None else 0
-        return ViewSeen(version, view.revision, view.age, self._gossip.is_reader())
+        return ViewStatus(version, view.revision, view.age, self._gossip.is_reader())
 
     def _connection_limits(self) -> ConnectionLimits:
         limits = self._limits()
--- a/carawayhub/gateway/relay.py
+++ b/carawayhub/gateway/relay.py
@@ -30,7 +30,7 @@
     NamedLimit,
     UnreadableLimit,
 )
-from carawayhub.gateway.events import WholeEvents
+from carawayhub.gateway.events import EventBuffer
 from carawayhub.gateway.health import Health
 from carawayhub.gateway.loads import Work, work_key
 from carawayhub.gateway.model import Endpoint, Repeat
@@ -70,7 +70,7 @@
 
     call: Admitted
     answer: CallerAnswer
-    events: WholeEvents = field(default_factory=WholeEvents)
+    events: EventBuffer = field(default_factory=EventBuffer)
     tried: set[str] = field(default_factory=set)
     sends: int = 0
     sent_to: set[str] = field(default_factory=set)
@@ -421,7 +421,7 @@
         left = max(0.01, course.call.ends_at - now)
         match route.repeat:
             case Repeat.STREAM:
-                return route.silence
+                return route.stream_timeout
             case Repeat.IDEMPOTENT:
                 return left * FIRST_PART if self._may_repeat(course) else left
             case Repeat.ONCE:
--- a/carawayhub/gateway/standing.py
+++ b/carawayhub/gateway/standing.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from carawayhub.clock import Clock
-from carawayhub.gateway.model import Endpoint, GroupSeat
+from carawayhub.gateway.model import Endpoint, GroupMembership
 
 NOTICE_SECONDS = 2.5
 """Seconds within which ranks have registered that their group lost one: they notice it after 1.5 s,
@@ -60,12 +60,12 @@
         """Take in what endpoints have registered."""
         found: dict[str, _Formation] = {}
         for each in endpoints:
-            if each.seat is not None:
-                group = each.seat.group
-                found[group] = _newest(found.get(group), each.seat)
+            if each.membership is not None:
+                group = each.membership.group
+                found[group] = _newest(found.get(group), each.membership)
         self._formations = found
 
-    def rank_ended(self, seat: GroupSeat) -> None:
+    def rank_ended(self, seat: GroupMembership) -> None:
         """Note that a rank ended: its group stands still until it forms anew."""
         known = self._formations.get(seat.group)
         epoch = seat.epoch if known is None else known.epoch
@@ -78,7 +78,7 @@
         What a rank that ended registered before stays for some seconds and says that all is well;
         the others of its group know better, and once they have formed anew it is not one of them.
         """
-        seat = endpoint.seat
+        seat = endpoint.membership
         if seat is None:
             return True
         formation = self._formations.get(seat.group)
@@ -99,7 +99,7 @@
         self._losses = {name: each for name, each in self._losses.items() if each.until > now}
 
 
-def _newest(known: _Formation | None, seat: GroupSeat) -> _Formation:
+def _newest(known: _Formation | None, seat: GroupMembership) -> _Formation:
     if known is None or seat.epoch > known.epoch:
         return _Formation(seat.epoch, seat.formed)
     if seat.epoch < known.epoch:
--- a/carawayhub/gateway/tally.py
+++ b/carawayhub/gateway/tally.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LimitsMet:
+class ReplicaLimits:
     """Limits that replicas name, and what they cost.
 
     Attributes:
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ViewSeen:
+class ViewStatus:
     """What an entry knows of the published state at one moment.
 
     Attributes:
@@ -51,28 +51,30 @@
     __slots__ = (
         "_ended_under_requests",
         "_ends",
-        "_late_tables",
-        "_limits_met",
+        "_table_delays",
+        "_replica_limits",
         "_times",
         "_unreadable_entries",
-        "_view_seen",
+        "_view_status",
     )
 
     def __init__(
         self,
         unreadable_entries: Callable[[], int] = lambda: 0,
-        limits_met: Callable[[], LimitsMet] = LimitsMet,
-        view_seen: Callable[[], ViewSeen] = ViewSeen,
+        replica_limits: Callable[[], ReplicaLimits] = ReplicaLimits,
+        view_status: Callable[[], ViewStatus] = ViewStatus,
     ) -> None:
         self._unreadable_entries = unreadable_entries
-        self._limits_met = limits_met
-        self._view_seen = view_seen
-        self._late_tables = Recorder()
+        self._replica_limits = replica_limits
+        self._view_status = view_status
+        self._table_delays = Recorder()
         self._ends: Counter[tuple[str, str, Code, int]] = Counter()
         self._times: dict[str, Recorder] = {}
         self._ended_under_requests: Counter[str] = Counter()
 
-    def ended(self, route: str, organisation: str, code: Code, status: int, seconds: float) -> None:
+    def request_ended(
+        self, route: str, organisation: str, code: Code, status: int, seconds: float
+    ) -> None:
         """Count the end of a request."""
         self._ends[(route, organisation, code, status)] += 1
         recorder = self._times.get(route)
@@ -80,13 +82,13 @@
             recorder = self._times[route] = Recorder()
         recorder.record(seconds)
 
-    def table_in_force(self, late_at_most: float) -> None:
+    def table_applied(self, max_delay: float) -> None:
         """Record for how many seconds a configuration may have been published before.
 
         The first one of a process has nothing to be counted from.
         """
-        if not math.isinf(late_at_most):
-            self._late_tables.record(late_at_most)
+        if not math.isinf(max_delay):
+            self._table_delays.record(max_delay)
 
     def endpoint_ended(self, service: str) -> None:
         """Count a request whose endpoint ended while it worked on it."""
@@ -107,7 +109,7 @@
         for service, count in sorted(self._ended_under_requests.items()):
             labels = f'service="{service}"'
             lines.append(f"carawayhub_gateway_cut_by_endpoint_ends_total{{{labels}}} {count}")
-        met = self._limits_met()
+        met = self._replica_limits()
         lines.append("# TYPE carawayhub_gateway_replica_limit gauge")
         for key, per_second in sorted(met.limits.items()):
             lines.append(f'carawayhub_gateway_replica_limit{{replica="{key}"}} {per_second}')
@@ -121,7 +123,7 @@
         return "\n".join(lines) + "\n"
 
     def _view_lines(self) -> list[str]:
-        seen = self._view_seen()
+        seen = self._view_status()
         name = "carawayhub_gateway_configuration_late_milliseconds"
         return [
             "# TYPE carawayhub_gateway_configuration_version gauge",
@@ -133,5 +135,5 @@
             "# TYPE carawayhub_gateway_reads_for_peers gauge",
             f"carawayhub_gateway_reads_for_peers {int(seen.reads)}",
             f"# TYPE {name} summary",
-            *summary_lines(name, "", self._late_tables),
+            *summary_lines(name, "", self._table_delays),
         ]
--- a/carawayhub/gateway/telling.py
+++ b/carawayhub/gateway/telling.py
@@ -30,43 +30,43 @@
 from carawayhub.limits.poisonnews import PoisonNews
 from carawayhub.limits.replicarate import ReplicaRates
 
-INTERVAL = 0.1
+GOSSIP_INTERVAL_SECONDS = 0.1
 """Seconds between two datagrams to a receiver: a place that a peer frees is known within a tenth of
 the second or so that a request takes."""
 
-DATAGRAMS_A_SECOND = 300.0
+MAX_DATAGRAMS_PER_SECOND = 300.0
 """Most datagrams that one entry sends a second: a hundredth of a core or two. A delegate of a large
 failure domain tells each entry less often."""
 
-STEPS_OF_NEWS = 3
+PROPAGATION_HOPS = 3
 """Intervals that news take by way of delegates."""
 
-NEAR_EVERY = 6
+DOMAIN_HELLO_ROUNDS = 6
 """Rounds of which in one an entry tells those of its own failure domain that are no delegates that
 it lives: they take its place as a delegate or it takes theirs."""
 
-FAMILY_EVERY = 8
+MEMBER_LIST_ROUNDS = 8
 """Rounds of which one names the peers, which change seldom."""
 
-GREETING_INTERVAL = 0.5
+INTRODUCTION_INTERVAL_SECONDS = 0.5
 """Seconds for which who is greeted waits for a further word: until a delegate has told of it."""
 
-ROUNDS_KEPT = 256
+MAX_SENT_TIMES = 256
 """Datagrams whose time is remembered, for peers to answer to: those of several seconds."""
 
-MOST_REFUSING = 64
+MAX_REFUSING = 64
 """Refusing endpoints that one datagram names: a kilobyte."""
 
-MOST_ROWS = 4_000
+MAX_WORK_ROWS = 4_000
 """Endpoints whose work one datagram tells; those with most requests where there are more. A row
 takes about eleven bytes."""
 
-OTHERS = "others"
+VIA_DELEGATE = "others"
 """Teller of the work that an entry's delegate told of."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class OwnPlace:
+class OwnAddress:
     """Where this entry is found.
 
     Attributes:
@@ -106,10 +106,10 @@
         told_refusing: Those that refused requests of others, by who told of them.
     """
 
-    __slots__ = ("incarnation", "news", "phase", "place", "refusing", "told_refusing")
+    __slots__ = ("address", "incarnation", "news", "phase", "refusing", "told_refusing")
 
-    def __init__(self, place: OwnPlace, incarnation: str) -> None:
-        self.place = place
+    def __init__(self, address: OwnAddress, incarnation: str) -> None:
+        self.address = address
         self.incarnation = incarnation
         self.phase = Phase.STARTING
         self.news: Callable[[], News] = _no_news
@@ -118,26 +118,26 @@
 
     def row(self) -> MemberRow:
         """Return what others are told of it by its delegate."""
-        place = self.place
+        address = self.address
         return MemberRow(
-            place.ip,
+            address.ip,
             self.incarnation,
             self.phase,
-            place.callers,
-            place.failure_domain,
+            address.callers,
+            address.failure_domain,
             self.news().reads,
         )
 
 
 @dataclass(frozen=True, slots=True)
-class _Numbered:
+class _NumberedHello:
     """A hello as it is sent, and its number."""
 
     number: int
     hello: msgspec.Raw
 
 
-class Teller:
+class DatagramBuilder:
     """Makes the datagrams that an entry sends.
 
     Args:
@@ -155,7 +155,7 @@
     __slots__ = (
         "_clock",
         "_loads",
-        "_named",
+        "_last_members",
         "_number",
         "_own",
         "_peers",
@@ -184,7 +184,7 @@
         self._number = 0
         self._rounds = 0
         self._sent: dict[int, float] = {}
-        self._named: dict[str, list[MemberRow]] = {}
+        self._last_members: dict[str, list[MemberRow]] = {}
         self.part = Part.EQUAL
 
     @property
@@ -196,19 +196,21 @@
             case Part.MEMBER:
                 receivers = 1
             case Part.DELEGATE:
-                receivers = self._receivers_of_delegate()
-        return max(INTERVAL, receivers / DATAGRAMS_A_SECOND)
+                receivers = self._delegate_receivers()
+        return max(GOSSIP_INTERVAL_SECONDS, receivers / MAX_DATAGRAMS_PER_SECOND)
 
-    def _receivers_of_delegate(self) -> int:
-        return len(self._peers.near()) + len(self._peers.far_delegates())
+    def _delegate_receivers(self) -> int:
+        return len(self._peers.in_own_domain()) + len(self._peers.other_delegates())
 
     @property
-    def news_seconds(self) -> float:
+    def propagation_seconds(self) -> float:
         """Seconds until all entries know of a choice of this one."""
         if self.part is Part.EQUAL:
             return self.interval
-        interval = max(INTERVAL, self._receivers_of_delegate() / DATAGRAMS_A_SECOND)
-        return STEPS_OF_NEWS * interval
+        interval = max(
+            GOSSIP_INTERVAL_SECONDS, self._delegate_receivers() / MAX_DATAGRAMS_PER_SECOND
+        )
+        return PROPAGATION_HOPS * interval
 
     def sent_at(self, number: int) -> float | None:
         """Return when a datagram was sent, None where that is too long ago."""
@@ -225,126 +227,129 @@
             urgent: Whether there is news that all should have at once.
         """
         self._rounds += 1
-        hello = self._hello(self._rows(self._loads.own()), names_peers=self._is_family_due())
+        hello = self._hello(self._rows(self._loads.own()), names_peers=self._is_member_list_due())
         match self.part:
             case Part.EQUAL:
                 return {ip: self._datagram(ip, hello) for ip in self._peers.ips()}
             case Part.MEMBER:
-                told = self._for_successors(urgent)
+                datagrams = self._to_own_domain(urgent)
                 if delegate := self.delegate():
-                    told[delegate] = self._datagram(delegate, hello)
-                return told
+                    datagrams[delegate] = self._datagram(delegate, hello)
+                return datagrams
             case Part.DELEGATE:
-                return self._for_domain(hello) | self._for_delegates()
+                return self._to_members(hello) | self._to_delegates()
 
-    def greeting(self, ips: Iterable[str]) -> dict[str, bytes]:
+    def introductions(self, ips: Iterable[str]) -> dict[str, bytes]:
         """Return the datagrams for entries that have just been met, or may live."""
-        hello = self._hello([], names_peers=True, interval=GREETING_INTERVAL)
+        hello = self._hello([], names_peers=True, interval=INTRODUCTION_INTERVAL_SECONDS)
         return {ip: self._datagram(ip, hello) for ip in sorted(ips)}
 
-    def _for_successors(self, urgent: bool) -> dict[str, bytes]:
+    def _to_own_domain(self, urgent: bool) -> dict[str, bytes]:
         """Return what the others of the failure domain are told, who tell for it one day.
 
         Requests under which endpoints ended are told to the delegate alone, who tells them on.
         """
-        if self._rounds % NEAR_EVERY and not urgent:
+        if self._rounds % DOMAIN_HELLO_ROUNDS and not urgent:
             return {}
-        hello = self._hello([], interval=NEAR_EVERY * INTERVAL)
+        hello = self._hello([], interval=DOMAIN_HELLO_ROUNDS * GOSSIP_INTERVAL_SECONDS)
         return {
-            each.ip: self._datagram(each.ip, hello, tells_ends=False) for each in self._peers.near()
+            each.ip: self._datagram(each.ip, hello, with_ends=False)
+            for each in self._peers.in_own_domain()
         }
 
-    def _for_delegates(self) -> dict[str, bytes]:
+    def _to_delegates(self) -> dict[str, bytes]:
         """Return what the other delegates are told for this entry's failure domain."""
-        near = self._peers.near()
-        tellers = [each.ip for each in near]
+        in_own_domain = self._peers.in_own_domain()
+        reporters = [each.ip for each in in_own_domain]
         digest = _raw(
             Digest(
-                members=self._names("", [*(each.row() for each in near), self._own.row()]),
-                works=self._rows(self._loads.of(tellers)),
-                refusing=self._refusing(tellers),
-                rates=self._rates.rows(tellers),
+                members=self._members_if_due(
+                    "", [*(each.row() for each in in_own_domain), self._own.row()]
+                ),
+                works=self._rows(self._loads.of(reporters)),
+                refusing=self._refusing(reporters),
+                rates=self._rates.rows(reporters),
             )
         )
         hello = self._hello([])
-        return {ip: self._datagram(ip, hello, digest) for ip in self._peers.far_delegates()}
+        return {ip: self._datagram(ip, hello, digest) for ip in self._peers.other_delegates()}
 
-    def _for_domain(self, hello: _Numbered) -> dict[str, bytes]:
+    def _to_members(self, hello: _NumberedHello) -> dict[str, bytes]:
         """Return what the entries of this one's failure domain are told for all others.
 
         Each is told the work of all but itself, which it knows better.
         """
-        names = self._names(OTHERS, [each.row() for each in self._peers.all()])
+        names = self._members_if_due(VIA_DELEGATE, [each.row() for each in self._peers.all()])
         refusing = self._refusing(self._own.told_refusing)
-        told = {}
-        for each in self._peers.near():
+        datagrams = {}
+        for each in self._peers.in_own_domain():
             works = self._rows(self._loads.without(each.ip))
             rates = self._rates.rows_without(each.ip)
             digest = _raw(Digest(members=names, works=works, refusing=refusing, rates=rates))
-            told[each.ip] = self._datagram(each.ip, hello, digest)
-        return told
+            datagrams[each.ip] = self._datagram(each.ip, hello, digest)
+        return datagrams
 
-    def _names(self, receivers: str, members: list[MemberRow]) -> list[MemberRow] | None:
+    def _members_if_due(self, receivers: str, members: list[MemberRow]) -> list[MemberRow] | None:
         """Return the members where they have changed or are due to be named again."""
-        if members == self._named.get(receivers) and not self._is_family_due():
+        if members == self._last_members.get(receivers) and not self._is_member_list_due():
             return None
-        self._named[receivers] = members
+        self._last_members[receivers] = members
         return members
 
-    def _is_family_due(self) -> bool:
-        return self._rounds % FAMILY_EVERY == 1
+    def _is_member_list_due(self) -> bool:
+        return self._rounds % MEMBER_LIST_ROUNDS == 1
 
-    def _refusing(self, tellers: Iterable[str]) -> list[str]:
+    def _refusing(self, reporters: Iterable[str]) -> list[str]:
         found = set(self._own.refusing())
-        for teller in tellers:
-            found.update(self._own.told_refusing.get(teller, ()))
-        return sorted(found)[:MOST_REFUSING]
+        for reporter in reporters:
+            found.update(self._own.told_refusing.get(reporter, ()))
+        return sorted(found)[:MAX_REFUSING]
 
     def _datagram(
         self,
         ip: str,
-        hello: _Numbered,
+        hello: _NumberedHello,
         digest: msgspec.Raw = NO_DIGEST,
         *,
-        tells_ends: bool = True,
+        with_ends: bool = True,
     ) -> bytes:
         peer = self._peers.get(ip)
         if peer is None:
             return msgspec.msgpack.encode(Datagram("", 0, hello.hello, digest))
         run = peer.incarnation
-        ends = self._poison_news.rows_for(ip, run, hello.number) if tells_ends else []
+        ends = self._poison_news.rows_for(ip, run, hello.number) if with_ends else []
         return msgspec.msgpack.encode(Datagram(run, peer.number, hello.hello, digest, ends))
 
     def _rows(self, works: Works) -> list[WorkRow]:
         rows = [
             WorkRow(key, work.requests, work.reading, work.tokens) for key, work in works.items()
         ]
-        if len(rows) > MOST_ROWS:
+        if len(rows) > MAX_WORK_ROWS:
             rows.sort(key=lambda row: -row.requests)
-        return rows[:MOST_ROWS]
+        return rows[:MAX_WORK_ROWS]
 
     def _hello(
         self, works: list[WorkRow], *, names_peers: bool = False, interval: float = 0.0
-    ) -> _Numbered:
+    ) -> _NumberedHello:
         self._number += 1
         self._sent[self._number] = self._clock.monotonic()
-        self._sent.pop(self._number - ROUNDS_KEPT, None)
+        self._sent.pop(self._number - MAX_SENT_TIMES, None)
         own = self._own
         hello = Hello(
-            ip=own.place.ip,
+            ip=own.address.ip,
             incarnation=own.incarnation,
             number=self._number,
             phase=own.phase,
-            callers=own.place.callers,
-            failure_domain=own.place.failure_domain,
+            callers=own.address.callers,
+            failure_domain=own.address.failure_domain,
             interval=interval or self.interval,
             peers=self._peers.ips() if names_peers else [],
             news=own.news(),
-            refusing=own.refusing()[:MOST_REFUSING],
+            refusing=own.refusing()[:MAX_REFUSING],
             works=works,
             rates=self._rates.rows(),
         )
-        return _Numbered(self._number, _raw(hello))
+        return _NumberedHello(self._number, _raw(hello))
 
 
 def _raw(message: msgspec.Struct) -> msgspec.Raw:
--- a/carawayhub/gateway/view.py
+++ b/carawayhub/gateway/view.py
@@ -219,8 +219,8 @@
         Ranks register that their group stands still 1.5 s later. Until then each of them was sent
         requests, which waited there and were refused.
         """
-        if endpoint.seat is not None:
-            self._standing.rank_ended(endpoint.seat)
+        if endpoint.membership is not None:
+            self._standing.rank_ended(endpoint.membership)
             self._rebuild()
 
     def misdirected(self, endpoint_id: str) -> None:
--- a/carawayhub/platform/agent.py
+++ b/carawayhub/platform/agent.py
@@ -85,7 +85,7 @@
             for each in listed
             if each.service == self._service
             and each.id not in former
-            and (each.seat is None or each.seat.group == group)
+            and (each.membership is None or each.membership.group == group)
         ]
 
     async def profile(self) -> EngineProfile | None:
--- a/carawayhub/platform/mirror.py
+++ b/carawayhub/platform/mirror.py
@@ -6,7 +6,7 @@
 
 from carawayhub.codes import Code
 from carawayhub.errors import PlatformError
-from carawayhub.gateway.ports import Handed
+from carawayhub.gateway.ports import ForwardedContent
 from carawayhub.peers.questions import MAX_DATAGRAM
 from carawayhub.platform.answers import UNREADABLE
 from carawayhub.platform.changes import Event, published
@@ -75,7 +75,7 @@
             self._known_from = max(self._known_from, oldest.rev)
         self.revision = max(self.revision, revision)
 
-    def told_after(self, revision: int) -> bytes | None:
+    def encode_after(self, revision: int) -> bytes | None:
         """Return what is known beyond a revision; see ``gateway.ports.Mirror``."""
         if self.revision <= revision:
             return None
@@ -85,7 +85,7 @@
         data = self._told[1]
         return data if len(data) <= MOST_HANDED else None
 
-    def take(self, data: bytes) -> Handed | None:
+    def take(self, data: bytes) -> ForwardedContent | None:
         """Take in what a peer handed on; see ``gateway.ports.Mirror``."""
         try:
             content = msgspec.msgpack.decode(data, type=_Content)
@@ -97,7 +97,7 @@
             self.replace(content.revision, content.events)
         else:
             self.extend(content.revision, content.events)
-        return Handed(published(content.revision, content.events), content.whole)
+        return ForwardedContent(published(content.revision, content.events), content.whole)
 
     def _encoded_after(self, revision: int) -> bytes:
         whole = revision < self._known_from
--- a/carawayhub/platform/probes.py
+++ b/carawayhub/platform/probes.py
@@ -7,7 +7,7 @@
 
 from carawayhub.constants import JSON_TYPE
 from carawayhub.entry.calls import Receive, Send
-from carawayhub.gateway.directory import ANSWER_SECONDS
+from carawayhub.gateway.directory import ANSWER_TTL_SECONDS
 
 OK_STATUS = 200
 UNAVAILABLE_STATUS = 503
@@ -44,7 +44,7 @@
                 await _answer(send, OK_STATUS if ready() else UNAVAILABLE_STATUS, b"{}")
             case "/v1/resolve":
                 found = addresses()
-                body = msgspec.json.encode(_EntryList(found, ANSWER_SECONDS))
+                body = msgspec.json.encode(_EntryList(found, ANSWER_TTL_SECONDS))
                 await _answer(send, OK_STATUS if found else UNAVAILABLE_STATUS, body)
             case _ if scope["path"] == METRICS_PATH:
                 await _answer(send, OK_STATUS, metrics().encode(), b"text/plain")
--- a/carawayhub/platform/published.py
+++ b/carawayhub/platform/published.py
@@ -165,7 +165,7 @@
             services={each.name: _service(each) for each in wire.services},
             limits=_limits(wire.limits),
             organisations=_organisations(wire.tenants),
-            keyed=bool(wire.tenants),
+            keys_required=bool(wire.tenants),
         )
         for each in wire.routes:
             table.add(_route(each))
@@ -210,11 +210,11 @@
         kv_tokens=wire.kv_tokens,
         step=wire.step_ms / MS,
         step_per_request=wire.per_seq_ms / MS,
-        read_rate=wire.read_per_s,
+        prefill_rate=wire.read_per_s,
         chunk=wire.chunk,
         stride=wire.stride,
-        usual_prompt=wire.usual.prompt,
-        usual_answer=wire.usual.answer,
+        mean_prompt_tokens=wire.usual.prompt,
+        mean_answer_tokens=wire.usual.answer,
         experts=_experts(wire),
     )
 
--- a/carawayhub/platform/registrations.py
+++ b/carawayhub/platform/registrations.py
@@ -15,7 +15,7 @@
 from carawayhub.addresses import Address
 from carawayhub.codes import Code
 from carawayhub.errors import PlatformError
-from carawayhub.gateway.model import Endpoint, EndpointState, GroupSeat, Incarnation
+from carawayhub.gateway.model import Endpoint, EndpointState, GroupMembership, Incarnation
 from carawayhub.platform.answers import UNREADABLE
 
 ENDPOINT_PREFIX = "servers/"
@@ -103,16 +103,16 @@
         failure_domain=beat.zone,
         places=beat.slots,
         state=_known("State", beat.state, _STATES),
-        seat=_seat(beat.group, beat.size),
+        membership=_seat(beat.group, beat.size),
         registered=registered,
     )
 
 
-def _seat(group: _Group | None, size: int) -> GroupSeat | None:
+def _seat(group: _Group | None, size: int) -> GroupMembership | None:
     if group is None:
         return None
     formed = _known("State", group.state, _FORMED)
-    return GroupSeat(group.name, group.epoch, group.rank, formed, size)
+    return GroupMembership(group.name, group.epoch, group.rank, formed, size)
 
 
 def _known(field: str, text: str, values: dict[str, Any]) -> Any:
--- a/carawayhub/platform/store.py
+++ b/carawayhub/platform/store.py
@@ -132,7 +132,7 @@
         query = {"Prefix": "op/", "After": PAST_THE_CONFIG}
         return (await self._get("/v1/kv-range", query, 0.0, _Listing)).current_rev
 
-    async def touch(self) -> None:
+    async def check_reachable(self) -> None:
         """See whether the store answers; see ``PublishedState``. The answer may be seconds old."""
         query = {"Prefix": "op/", "After": PAST_THE_CONFIG, "StaleOk": 1}
         await self._get("/v1/kv-range", query, 0.0, _Listing)
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -11,7 +11,7 @@
     Endpoint,
     EndpointState,
     EngineProfile,
-    GroupSeat,
+    GroupMembership,
     Incarnation,
     Organisation,
     Repeat,
@@ -35,7 +35,7 @@
     address: str = "127.0.0.1:9",
     registered: int = 0,
     born: int = 0,
-    seat: GroupSeat | None = None,
+    membership: GroupMembership | None = None,
 ) -> Endpoint:
     """Return an endpoint."""
     incarnation = Incarnation(name, born)
@@ -47,7 +47,7 @@
         failure_domain="brest",
         places=places,
         state=state,
-        seat=seat,
+        membership=membership,
         registered=registered,
     )
 
@@ -85,11 +85,11 @@
         kv_tokens=186_000,
         step=0.006,
         step_per_request=0.0007,
-        read_rate=61_000.0,
+        prefill_rate=61_000.0,
         chunk=512,
         stride=5,
-        usual_prompt=800.0,
-        usual_answer=140.0,
+        mean_prompt_tokens=800.0,
+        mean_answer_tokens=140.0,
         experts=None,
     )
 
@@ -104,7 +104,7 @@
         },
         limits=CallerLimits(),
         organisations={KEY: Organisation("armor", None)},
-        keyed=True,
+        keys_required=True,
     )
     for each in routes or (route(),):
         found.add(each)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -11,14 +11,18 @@
     WATCH_GRACE,
 )
 from carawayhub.gateway.freshness import Bounds, ReadTimes, read_times
-from carawayhub.gateway.gossip import LEAST_INTERVAL
+from carawayhub.gateway.gossip import MIN_ROUND_INTERVAL_SECONDS
 from carawayhub.platform import entry
 from carawayhub.platform.settings import PromiseBounds
 
 STORE_SECONDS = 0.02
 """A call of a store that answers in a few milliseconds, over a connection of its own."""
 
-TOLD_SECONDS = {6: LEAST_INTERVAL, 45: 3 * LEAST_INTERVAL, 98: 3 * LEAST_INTERVAL}
+TOLD_SECONDS = {
+    6: MIN_ROUND_INTERVAL_SECONDS,
+    45: 3 * MIN_ROUND_INTERVAL_SECONDS,
+    98: 3 * MIN_ROUND_INTERVAL_SECONDS,
+}
 """Seconds until all entries are told: directly, or by way of two delegates."""
 
 ASK_SECONDS = 0.01
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -8,7 +8,7 @@
 from carawayhub.errors import RequestError
 from carawayhub.gateway.calls import CallerRequest
 from carawayhub.gateway.desk import AGE_MARGIN, Desk
-from carawayhub.gateway.events import WholeEvents
+from carawayhub.gateway.events import EventBuffer
 from carawayhub.gateway.health import FIRST_BREAK, Health
 from carawayhub.gateway.line import Line, Wish
 from carawayhub.gateway.loads import Loads, Work, work_key
@@ -385,7 +385,7 @@
     """Whole events only."""
 
     def test_event_is_kept_back_until_it_is_whole(self) -> None:
-        events = WholeEvents()
+        events = EventBuffer()
         self.assertEqual(events.feed(b"id: 1\ndata: a"), b"")
         self.assertEqual(events.feed(b"b\n\nid: 2\nda"), b"id: 1\ndata: ab\n\n")
         self.assertTrue(events.unfinished)
@@ -396,14 +396,14 @@
 
         The next one begins with event 2 again; its caller must see each event once.
         """
-        events = WholeEvents()
+        events = EventBuffer()
         events.feed(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda")
         events.restart()
         again = events.feed(b"id: 2\ndata: b\n\nid: 3\ndata: c\n\n")
         self.assertEqual(again, b"id: 3\ndata: c\n\n")
 
     def test_either_line_end(self) -> None:
-        events = WholeEvents()
+        events = EventBuffer()
         self.assertEqual(events.feed(b"id: 1\r\ndata: a\r\n\r\n"), b"id: 1\r\ndata: a\r\n\r\n")
         self.assertEqual(events.last_id, b"1")
 
--- a/tests/test_gateway_gossip.py
+++ b/tests/test_gateway_gossip.py
@@ -11,8 +11,8 @@
 from carawayhub.gateway.gossip import Gossip
 from carawayhub.gateway.hello import News, Phase
 from carawayhub.gateway.loads import Loads, Work
-from carawayhub.gateway.peers import first_of_domains
-from carawayhub.gateway.telling import OwnPlace
+from carawayhub.gateway.peers import pick_across_domains
+from carawayhub.gateway.telling import OwnAddress
 from carawayhub.limits.poison import PoisonRecords
 from tests.gateway_world import rates
 
@@ -39,14 +39,14 @@
                     self.scopes.append(scope)
                     tasks.start_soon(self.serve, each, scope)
                 with anyio.fail_after(20.0):
-                    await self.until(lambda: all(each.most_entries == 3 for each in self.entries))
+                    await self.until(lambda: all(each.peak_entries == 3 for each in self.entries))
                     await story()
                 tasks.cancel_scope.cancel()
 
         anyio.run(main)
 
     def entry(self, ip: str, seed: str, port: int) -> Gossip:
-        own = OwnPlace(ip=ip, port=port, callers=f"{ip}:80", failure_domain="brest")
+        own = OwnAddress(ip=ip, port=port, callers=f"{ip}:80", failure_domain="brest")
         return Gossip(
             own,
             frozenset({seed}),
@@ -142,9 +142,9 @@
             first = self.entries[0]
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
                 for data in (b"", b"\xff", msgspec.msgpack.encode([1, 2]), b"x" * 5000):
-                    sock.sendto(data, (first.own.place.ip, first.own.place.port))
+                    sock.sendto(data, (first.own.address.ip, first.own.address.port))
             await anyio.sleep(0.3)
-            self.assertEqual(first.most_entries, 3)
+            self.assertEqual(first.peak_entries, 3)
 
         self.run_entries(story)
 
@@ -154,16 +154,16 @@
 
     def test_they_stand_in_different_failure_domains(self) -> None:
         entries = [("b", "10.2.0.1"), ("a", "10.1.0.1"), ("a", "10.1.0.2"), ("c", "10.3.0.1")]
-        self.assertEqual(first_of_domains(entries, 2), {"10.1.0.1", "10.2.0.1"})
-        self.assertEqual(first_of_domains(entries[1:3], 2), {"10.1.0.1", "10.1.0.2"})
-        self.assertEqual(first_of_domains(entries[:1], 2), {"10.2.0.1"})
+        self.assertEqual(pick_across_domains(entries, 2), {"10.1.0.1", "10.2.0.1"})
+        self.assertEqual(pick_across_domains(entries[1:3], 2), {"10.1.0.1", "10.1.0.2"})
+        self.assertEqual(pick_across_domains(entries[:1], 2), {"10.2.0.1"})
 
 
 class Order(unittest.TestCase):
     """Datagrams that overtake each other."""
 
     def test_older_news_do_not_replace_newer(self) -> None:
-        own = OwnPlace(ip="10.0.0.1", port=1, callers="10.0.0.1:80", failure_domain="brest")
+        own = OwnAddress(ip="10.0.0.1", port=1, callers="10.0.0.1:80", failure_domain="brest")
         gossip = Gossip(
             own,
             frozenset(),
@@ -173,7 +173,7 @@
             ManualClock(1.0),
             random.Random(1),
         )
-        other = OwnPlace(ip="10.0.0.2", port=1, callers="10.0.0.2:80", failure_domain="brest")
+        other = OwnAddress(ip="10.0.0.2", port=1, callers="10.0.0.2:80", failure_domain="brest")
         peer = Gossip(
             other,
             frozenset(),
@@ -186,7 +186,7 @@
         hellos = []
         for phase in (Phase.READY, Phase.LEAVING):
             peer.set_phase(phase)
-            hellos.append(gossip.read(peer._teller.greeting(["10.0.0.1"])["10.0.0.1"]))
+            hellos.append(gossip.read(peer._builder.introductions(["10.0.0.1"])["10.0.0.1"]))
         gossip.take(hellos[1])
         gossip.take(hellos[0])
         self.assertEqual(gossip.entries(Phase.READY), [])
--- a/tests/test_gateway_large.py
+++ b/tests/test_gateway_large.py
@@ -12,7 +12,7 @@
 from carawayhub.gateway.gossip import Gossip
 from carawayhub.gateway.hello import News, Phase
 from carawayhub.gateway.loads import Loads, Work
-from carawayhub.gateway.telling import OwnPlace, Part
+from carawayhub.gateway.telling import OwnAddress, Part
 from carawayhub.limits.poison import PoisonRecords
 from tests.gateway_world import rates
 
@@ -48,7 +48,7 @@
     def start(self, ip: str) -> None:
         """Start an entry that knows nobody."""
         domain = ip.split(".")[1]
-        place = OwnPlace(ip=ip, port=1, callers=f"{ip}:80", failure_domain=domain)
+        place = OwnAddress(ip=ip, port=1, callers=f"{ip}:80", failure_domain=domain)
         rng = random.Random(self.rng.random())
         entry = self.entries[ip] = Gossip(
             place,
@@ -65,7 +65,7 @@
             with scope:
                 await anyio.sleep(self.rng.uniform(0.0, 0.3))
                 entry.set_phase(Phase.READY)
-                await entry.tell(lambda to, data: self.carry(ip, to, data))
+                await entry.send_rounds(lambda to, data: self.carry(ip, to, data))
 
         assert self.tasks is not None
         self.tasks.start_soon(run)
@@ -92,7 +92,7 @@
 
     def known(self, entry: Gossip) -> set[str]:
         """Return the entries that one would name to callers."""
-        return {each.ip for each in entry.entries(Phase.READY)} | {entry.own.place.ip}
+        return {each.ip for each in entry.entries(Phase.READY)} | {entry.own.address.ip}
 
     def agree(self) -> bool:
         """Return whether all entries know just those that live."""
@@ -237,8 +237,8 @@
 
                 entry.own.news = news
                 entry.on_news = take
-            newest[reader.own.place.ip] = began_at
-            reader.tell_soon()
+            newest[reader.own.address.ip] = began_at
+            reader.send_soon()
             await until(lambda: min(newest.values()) > began_at - 0.7, 1.5)
 
         play(fleet, story)
@@ -247,7 +247,7 @@
         fleet = Fleet(9)
 
         async def story() -> None:
-            parts = {each._teller.part for each in fleet.entries.values()}
+            parts = {each._builder.part for each in fleet.entries.values()}
             self.assertEqual(parts, {Part.EQUAL})
             fleet.entries["10.1.0.10"]._loads.begin("i-1", Work(1, 0, 800))
             self.assertLess(await until(lambda: fleet.totals("i-1") == {1}, 0.5), 0.15)
--- a/tests/test_gateway_pool.py
+++ b/tests/test_gateway_pool.py
@@ -11,7 +11,7 @@
 from carawayhub.gateway.health import Health
 from carawayhub.gateway.line import RETRY_PART
 from carawayhub.gateway.loads import Loads, Work
-from carawayhub.gateway.model import GroupSeat
+from carawayhub.gateway.model import GroupMembership
 from carawayhub.gateway.outage import UNKNOWN_LEFT
 from carawayhub.gateway.pool import ServicePool
 from carawayhub.gateway.ports import EndpointPublished, Published, TablePublished
@@ -39,12 +39,12 @@
     def groups(self, second_stands: bool) -> list[EndpointPublished]:
         """Return both groups as they register themselves."""
         seats = [
-            GroupSeat("g0", 1, 0, True, 1),
-            GroupSeat("g1", 1 + second_stands, 0, second_stands, 2),
+            GroupMembership("g0", 1, 0, True, 1),
+            GroupMembership("g1", 1 + second_stands, 0, second_stands, 2),
         ]
         return [
             EndpointPublished(
-                endpoint(f"i-{at}", address=f"127.0.0.{at + 1}:9", places=1, seat=seat)
+                endpoint(f"i-{at}", address=f"127.0.0.{at + 1}:9", places=1, membership=seat)
             )
             for at, seat in enumerate(seats)
         ]
--- a/tests/test_gateway_view.py
+++ b/tests/test_gateway_view.py
@@ -20,7 +20,7 @@
 from carawayhub.gateway.ports import (
     EndpointPublished,
     EndpointRemoved,
-    Handed,
+    ForwardedContent,
     Published,
     TablePublished,
 )
@@ -186,7 +186,7 @@
         await self._answer()
         return self.now
 
-    async def touch(self) -> None:
+    async def check_reachable(self) -> None:
         self.touches += 1
         await self._answer()
 
@@ -205,13 +205,15 @@
         self.asked = 0
         self.news_seconds = 0.0
 
-    async def beyond(self, revision: int) -> Handed | None:
+    async def beyond(self, revision: int) -> ForwardedContent | None:
         """Answer as peers do that know all that is published, None while there are none."""
         self.asked += 1
         await anyio.sleep(0.002)
         if self.peers is None or self.peers.now <= revision:
             return None
-        return Handed(published(self.peers.now, TablePublished(table(self.peers.now))), True)
+        return ForwardedContent(
+            published(self.peers.now, TablePublished(table(self.peers.now))), True
+        )
 
     def follow(self, story, *, reads: bool = True) -> tuple[FleetView, FakeState]:
         async def main() -> None:
@@ -374,7 +376,7 @@
         async def story() -> None:
             self.assertEqual(self.view.table.version, 1)
 
-        async def peers_are_met(revision: int) -> Handed | None:
+        async def peers_are_met(revision: int) -> ForwardedContent | None:
             if anyio.current_time() > 0.3:
                 self.peers = self.state
             return await Follow.beyond(self, revision)
@@ -473,9 +475,9 @@
             self.state.change()
             await anyio.sleep(0.1)
             revision = self.view.revision
-            old = Handed(published(1, TablePublished(table(1))), True)
+            old = ForwardedContent(published(1, TablePublished(table(1))), True)
 
-            async def late(revision: int) -> Handed | None:
+            async def late(revision: int) -> ForwardedContent | None:
                 return old
 
             self.follower._beyond = late
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -6,7 +6,7 @@
 
 from benchmarks.outage import play
 from carawayhub.clock import ManualClock
-from carawayhub.gateway.model import GroupSeat
+from carawayhub.gateway.model import GroupMembership
 from carawayhub.gateway.outage import FORM_SECONDS, UNKNOWN_LEFT, Outage, Seen
 from carawayhub.gateway.ports import EndpointPublished, EndpointRemoved, Published
 from carawayhub.gateway.standing import NOTICE_SECONDS
@@ -37,9 +37,9 @@
     def register(self, rank: int, epoch: int, formed: bool = True, name: str = "") -> None:
         """Let a rank of a group of three register itself."""
         name = name or f"i-{rank}"
-        seat = GroupSeat("g0", epoch, rank, formed, 3)
+        seat = GroupMembership("g0", epoch, rank, formed, 3)
         self.revision += 1
-        change = EndpointPublished(endpoint(name, seat=seat, address=f"127.0.0.{rank + 1}:9"))
+        change = EndpointPublished(endpoint(name, membership=seat, address=f"127.0.0.{rank + 1}:9"))
         self.view.extend(Published(revision=self.revision, changes=(change,)))
 
     def serving(self) -> set[str]:
--- a/tests/test_platform_entries.py
+++ b/tests/test_platform_entries.py
@@ -11,7 +11,7 @@
 from carawayhub.errors import PlatformError
 from carawayhub.experts.demand import GrowthMeter
 from carawayhub.experts.model import RankCounts
-from carawayhub.gateway.model import Endpoint, EndpointState, GroupSeat, Incarnation
+from carawayhub.gateway.model import Endpoint, EndpointState, GroupMembership, Incarnation
 from carawayhub.gateway.ports import (
     EndpointPublished,
     EndpointRemoved,
@@ -48,7 +48,7 @@
     def test_whole_entry(self) -> None:
         found = decode(ENTRY)
         self.assertEqual(found.incarnation, Incarnation("i-1", 1_790_000_000_000))
-        self.assertEqual(found.seat, GroupSeat("g0", 2, 3, formed=True, size=12))
+        self.assertEqual(found.membership, GroupMembership("g0", 2, 3, formed=True, size=12))
         self.assertEqual((found.places, found.registered), (6, 7))
 
     def test_endpoint_that_does_not_say_when_it_started(self) -> None:
--- a/tests/test_platform_metrics.py
+++ b/tests/test_platform_metrics.py
@@ -11,7 +11,7 @@
 from carawayhub.experts.planner import Plan
 from carawayhub.experts.switch import Ended
 from carawayhub.experts.tally import GroupTally
-from carawayhub.gateway.tally import Tally, ViewSeen
+from carawayhub.gateway.tally import Tally, ViewStatus
 from carawayhub.platform.probes import METRICS_PATH, METRICS_PORT, metrics_app, probe_app
 
 DEPLOY_FILE = Path(__file__).parent.parent / "deploy" / "system.toml"
@@ -58,8 +58,8 @@
     def test_entry_tells_ends_and_quantiles_of_each_route(self) -> None:
         tally = Tally()
         for _ in range(9):
-            tally.ended("songs", "armor", Code.OK, 200, 0.02)
-        tally.ended("songs", "armor", Code.OVERLOADED, 503, 0.001)
+            tally.request_ended("songs", "armor", Code.OK, 200, 0.02)
+        tally.request_ended("songs", "armor", Code.OVERLOADED, 503, 0.001)
         app = probe_app(lambda: True, list, tally.page)
         text = get(app, METRICS_PATH)[1].splitlines()
         labels = 'route="songs",organisation="armor",code="0",status="200"'
@@ -68,9 +68,9 @@
         self.assertIn('carawayhub_gateway_milliseconds_count{route="songs"} 10', text)
 
     def test_entry_tells_what_it_knows_of_the_published_state(self) -> None:
-        tally = Tally(view_seen=lambda: ViewSeen(version=7, revision=31, age=0.4, reads=True))
-        tally.table_in_force(float("inf"))
-        tally.table_in_force(0.25)
+        tally = Tally(view_status=lambda: ViewStatus(version=7, revision=31, age=0.4, reads=True))
+        tally.table_applied(float("inf"))
+        tally.table_applied(0.25)
         app = probe_app(lambda: True, list, tally.page)
         text = get(app, METRICS_PATH)[1].splitlines()
         for line in (
--- a/tests/test_platform_mirror.py
+++ b/tests/test_platform_mirror.py
@@ -42,7 +42,7 @@
 
     def contents(self, mirror: StoreMirror) -> dict[str, Event]:
         told = StoreMirror()
-        data = mirror.told_after(-1)
+        data = mirror.encode_after(-1)
         if data is not None:
             told.take(data)
         return told._written
@@ -90,7 +90,7 @@
         self, rng: random.Random, teller: StoreMirror, asker: StoreMirror, store: FakeStore
     ) -> None:
         asked = asker.revision
-        data = teller.told_after(asked)
+        data = teller.encode_after(asked)
         if data is None:
             self.assertLessEqual(teller.revision, asked)
             return
@@ -107,7 +107,7 @@
         mirror.extend(6, [Event("servers/i-1", 6, deleted=True)])
         other = StoreMirror()
         other.replace(5, [Event("servers/i-1", 3)])
-        handed = other.take(mirror.told_after(5))
+        handed = other.take(mirror.encode_after(5))
         self.assertFalse(handed.whole)
         self.assertEqual(handed.published.changes, (EndpointRemoved("i-1"),))
 
@@ -116,13 +116,13 @@
         mirror.replace(1, [])
         for at in range(REMOVALS_KEPT + 10):
             mirror.extend(at + 2, [Event(f"servers/i-{at}", at + 2, deleted=True)])
-        data = mirror.told_after(2)
+        data = mirror.encode_after(2)
         self.assertTrue(StoreMirror().take(data).whole)
 
     def test_more_than_a_datagram_holds_is_read_from_the_store(self) -> None:
         mirror = StoreMirror()
         mirror.replace(1, [Event("op/config", 1, content=bytes(MOST_HANDED))])
-        self.assertIsNone(mirror.told_after(0))
+        self.assertIsNone(mirror.encode_after(0))
 
     def test_all_that_is_handed_on_can_be_unpacked(self) -> None:
         """A configuration of 100 KB was sent compressed, and the receiver unpacked 64 KB of it.
@@ -131,18 +131,18 @@
         """
         mirror = StoreMirror()
         mirror.replace(1, [Event("op/config", 1, content=bytes(MOST_HANDED - 64))])
-        content = mirror.told_after(0)
+        content = mirror.encode_after(0)
         self.assertIsNotNone(content)
         answer = questions.Answer(number=2**40, asker="f" * 8, ok=True, content=content)
         data = questions._encoded(questions._Datagram(answer=answer))
         self.assertEqual(questions._decoded(data).answer, answer)
         mirror.replace(2, [Event("op/config", 2, content=bytes(100_000))])
-        self.assertIsNone(mirror.told_after(0))
+        self.assertIsNone(mirror.encode_after(0))
 
     def test_content_that_cannot_be_read_changes_nothing(self) -> None:
         mirror = StoreMirror()
         mirror.replace(5, [Event("servers/i-1", 3)])
-        whole = mirror.told_after(0)
+        whole = mirror.encode_after(0)
         for data in (b"", b"\xff", whole[:-1], msgspec.msgpack.encode([9, True, [["k"]]])):
             with self.subTest(data=data), self.assertRaises(PlatformError) as raised:
                 mirror.take(data)
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -18,7 +18,7 @@
 from carawayhub.clock import ManualClock
 from carawayhub.gateway.calls import NamedLimit, UnreadableLimit
 from carawayhub.gateway.hello import Hello, News, Phase
-from carawayhub.gateway.peers import MISSED_SECONDS, Peers
+from carawayhub.gateway.peers import MISSING_TTL_SECONDS, Peers
 from carawayhub.limits.replicarate import (
     ASK_RATE,
     MOST_ROWS,
@@ -280,13 +280,13 @@
         """A cut-off entry takes itself for the only one, and a limit for its own alone."""
         peers = Peers("10.0.0.1", "brest")
         for at in range(2, 11):
-            peers.heard(peer_hello(f"10.0.0.{at}"), Phase.READY, 0.0, 1.0)
-        self.assertEqual(peers.part_heard(0.0), 1.0)
+            peers.record_hello(peer_hello(f"10.0.0.{at}"), Phase.READY, 0.0, 1.0)
+        self.assertEqual(peers.reachable_fraction(0.0), 1.0)
         peers.drop(["10.0.0.2"], "silent", 1.0)
-        self.assertEqual(peers.part_heard(1.0), 0.9)
-        self.assertEqual(peers.part_heard(2.0 + MISSED_SECONDS), 1.0)
+        self.assertEqual(peers.reachable_fraction(1.0), 0.9)
+        self.assertEqual(peers.reachable_fraction(2.0 + MISSING_TTL_SECONDS), 1.0)
         peers.drop([f"10.0.0.{at}" for at in range(3, 11)], "silent", 50.0)
-        self.assertEqual(peers.part_heard(50.0 + 100 * MISSED_SECONDS), 1 / 9)
+        self.assertEqual(peers.reachable_fraction(50.0 + 100 * MISSING_TTL_SECONDS), 1 / 9)
 
     def test_entries_replaced_over_weeks_are_not_missed_for_good(self) -> None:
         """A limit was used to a thirtieth, by entries that all heard each other.
@@ -297,12 +297,12 @@
         """
         peers = Peers("10.0.0.1", "brest")
         for at in range(2, 8):
-            peers.heard(peer_hello(f"10.0.0.{at}"), Phase.READY, 0.0, 1.0)
+            peers.record_hello(peer_hello(f"10.0.0.{at}"), Phase.READY, 0.0, 1.0)
         for hour in range(200):
             now = 3600.0 * hour
             peers.drop([peers.ips()[0]], "silent", now)
-            peers.heard(peer_hello(f"10.0.1.{hour}"), Phase.READY, now + 30.0, 1.0)
-        self.assertEqual(peers.part_heard(3600.0 * 200), 1.0)
+            peers.record_hello(peer_hello(f"10.0.1.{hour}"), Phase.READY, now + 30.0, 1.0)
+        self.assertEqual(peers.reachable_fraction(3600.0 * 200), 1.0)
 
 
 class Bound(unittest.TestCase):
