--- a/carawayhub/gateway/app.py
+++ b/carawayhub/gateway/app.py
@@ -151,7 +151,7 @@
         seconds = self._clock.monotonic() - arrived_at
         route = call.route.name if call else ""
         organisation = call.organisation.name if call and call.organisation else ""
-        self._tally.request_ended(route, organisation, code, answer.status, seconds)
+        self._tally.ended(route, organisation, code, answer.status, seconds)
         logger.bind(
             request=req.id.decode("latin-1") if req else "",
             content=call.fingerprint.hex() if call else "",
--- a/carawayhub/gateway/gossip.py
+++ b/carawayhub/gateway/gossip.py
@@ -1,9 +1,9 @@
-"""What entries tell each other: that they live, whether they take callers, what work they have.
+"""Gossip between entries: liveness, whether they accept callers, and their work in flight.
 
-One small datagram to each receiver several times a second, about 0.03 ms of processor time for each
-side. A unary call of ``grpclib`` costs 0.5 ms, and nothing here needs an answer: the next datagram
-replaces a lost one. Who tells whom is in ``telling.py``; an entry of which none tells any more is
-greeted directly again.
+Each entry sends a small UDP datagram to each receiver several times a second, at about 0.03 ms of
+CPU time per side. A unary ``grpclib`` call costs 0.5 ms, and no reply is needed because the next
+datagram replaces a lost one. ``telling.py`` decides who sends to whom. An entry that no other entry
+reports any more becomes a seed and is contacted directly again.
 """
 
 import random
@@ -41,30 +41,31 @@
 from carawayhub.limits.replicarate import RateRow, ReplicaRates
 
 FULL_MESH_MAX_ENTRIES = 12
-"""Entries up to which each tells all others. With 15 in five failure domains, 16 MB in 50 s went
-across these, most of it gossip."""
+"""Largest fleet in which each entry sends to all others. A full mesh of 15 entries in five failure
+domains sent 16 MB across them in 50 s, most of it gossip."""
 
 PEER_TIMEOUT_INTERVALS = 6
-"""Datagrams in a row that must be missing before a peer counts as gone; single ones get lost."""
+"""Consecutive datagrams that must be missing before a peer is removed, as single ones get lost."""
 
 DIGEST_TTL_SECONDS = 1.0
-"""Seconds for which work holds that a delegate told of and was not told again: until the next
-delegate tells."""
+"""Time for which work reported by a delegate stays valid without another report, until the next
+delegate has taken over."""
 
 SEED_INTERVAL_SECONDS = 0.5
-"""Seconds between two datagrams to seeds that are not known to live."""
+"""Interval between two datagrams to a seed that is not a known peer."""
 
 DISCOVERY_INTERVAL_SECONDS = 0.15
-"""The same while no peer is known: an entry that starts waits for what its peers know."""
+"""Interval to seeds while no peer is known. It is short because a starting entry waits for the state
+that its peers have."""
 
 MIN_ROUND_INTERVAL_SECONDS = 0.1
-"""Seconds between two rounds of datagrams at the least, whatever there is to tell."""
+"""Shortest time between two rounds, also for urgent updates."""
 
 INCARNATION_BITS = 32
 
 SETTLED_SECONDS = 1.0
-"""Seconds without a further entry after which all are held to be known: a few rounds of datagrams,
-each of which may name more."""
+"""Time without a newly discovered entry after which the membership is considered complete. It covers
+a few rounds, each of which may list more entries."""
 
 Send = Callable[[str, bytes], Awaitable[None]]
 
@@ -138,30 +139,30 @@
 
     @property
     def phase(self) -> Phase:
-        """What this entry says of itself."""
+        """Announced phase of this entry."""
         return self.own.phase
 
     @property
     def peak_entries(self) -> int:
-        """Most entries known at one time, this one among them; 0 while none was heard."""
+        """Largest number of entries known at once, including this one; 0 before the first peer."""
         return self._peers.peak
 
     @property
     def propagation_seconds(self) -> float:
-        """Seconds until all entries know of a choice of this one."""
+        """Seconds until a routing decision of this entry is known to all entries."""
         return self._builder.propagation_seconds
 
     def settled_entries(self) -> int:
-        """Return the most entries known at one time, 0 while it may still be growing.
+        """Return the largest number of entries known at once, or 0 while it may still grow.
 
-        Guards against an entry that has just started and met five of forty: it would take a fifth
-        of what all may spend together, and so would each of the others after a loss of power.
+        A starting entry that has discovered five of forty entries would otherwise claim a fifth of
+        the shared retry budget, and so would all others after a power failure.
         """
         settled = self._clock.monotonic() - self._peers.grown_at >= SETTLED_SECONDS
         return self.peak_entries if settled else 0
 
     def reachable_fraction(self) -> float:
-        """Return the part of all entries that this one hears of, itself among them."""
+        """Return the fraction of all entries that this one receives updates about, itself included."""
         if not self._peers and not self._seeds:
             return 1.0
         if not self.settled_entries():
@@ -169,42 +170,45 @@
         return self._peers.reachable_fraction(self._clock.monotonic())
 
     def add_seeds(self, seeds: frozenset[str]) -> None:
-        """Say hello to further entries that may live."""
+        """Add entries to contact directly until they are known as peers."""
         self._seeds |= seeds - {self.own.address.ip}
 
     def stale_entry_seconds(self) -> float:
-        """Return the seconds for which all entries choose by the same news, times the entries."""
+        """Return the propagation delay multiplied by the number of entries.
+
+        During the delay, all entries make their decisions from the same outdated information.
+        """
         return self.propagation_seconds * (len(self._peers) + 1)
 
     def set_phase(self, phase: Phase) -> None:
-        """Change what this entry says of itself, and tell it at once."""
+        """Change the announced phase and send it immediately."""
         self.own.phase = phase
         self._update_part()
         self.send_soon()
 
     def send_soon(self) -> None:
-        """Tell all receivers at once, as what this entry knows has changed."""
+        """Start the next round early because the state of this entry has changed."""
         self._urgent = True
         self._wake.set()
 
     def is_reader(self) -> bool:
-        """Return whether this entry reads the published state for the others."""
+        """Return whether this entry reads the published state from the store for all entries."""
         fits = self.phase in (Phase.STARTING, Phase.READY) and self.own.news().reads
         return fits and self.own.address.ip in self._peers.readers(own_fits=True)
 
     def peers_ahead_of(self, revision: int) -> list[str]:
-        """Return the peers that know more than ``revision``, those of the own domain first."""
+        """Return the peers with a newer revision, those in this failure domain first."""
         found = self._peers.ahead_of(revision)
         self._rng.shuffle(found)
         found.sort(key=lambda each: each.failure_domain != self.own.address.failure_domain)
         return [each.ip for each in found]
 
     def entries(self, phase: Phase) -> list[PeerEntry]:
-        """Return the peers that live and say this of themselves."""
+        """Return the live peers in a phase."""
         return self._peers.in_phase(phase, self._clock.monotonic())
 
     async def run(self) -> None:
-        """Exchange news until cancelled."""
+        """Send and receive datagrams until cancelled."""
         address = self.own.address
         async with (
             await anyio.create_udp_socket(
@@ -217,7 +221,7 @@
                 try:
                     await sock.sendto(data, ip, address.port)
                 except OSError as exc:
-                    logger.bind(peer=ip, error=str(exc)).warning("datagram could not be sent")
+                    logger.bind(peer=ip, error=str(exc)).warning("failed to send a datagram")
 
             tasks.start_soon(self._receive, sock)
             tasks.start_soon(self.send_rounds, send)
@@ -229,21 +233,21 @@
                 self.take(received)
 
     def read(self, data: bytes) -> ReceivedDatagram | None:
-        """Return what a datagram says, None where it cannot be read."""
+        """Decode a datagram; return None if it is malformed."""
         try:
             datagram = msgspec.msgpack.decode(data, type=Datagram)
             hello = msgspec.msgpack.decode(datagram.hello, type=Hello)
             digest = _digest(datagram)
             phase = Phase(hello.phase)
         except (msgspec.DecodeError, ValueError) as exc:
-            logger.bind(error=str(exc)).warning("datagram of a peer cannot be read")
+            logger.bind(error=str(exc)).warning("discarded a malformed datagram from a peer")
             return None
         return ReceivedDatagram(
             datagram.answers_run, datagram.answers, hello, phase, digest, datagram.ends
         )
 
     def take(self, received: ReceivedDatagram) -> None:
-        """Take in what a peer said; datagrams may overtake each other and come twice."""
+        """Apply a received datagram; datagrams may arrive out of order or twice."""
         if received.hello.ip == self.own.address.ip:
             return
         if self._peers.is_newer(received.hello):
@@ -262,9 +266,9 @@
         self._update_part()
 
     def _apply_works(self, received: ReceivedDatagram) -> None:
-        """Take in work of a peer, or what a delegate tells for others.
+        """Apply the work of a peer or the digest of a delegate.
 
-        Each request is told of by one teller alone, whatever this entry's part is.
+        In each role of this entry, exactly one reporter accounts for each request.
         """
         hello, digest = received.hello, received.digest
         near = hello.failure_domain == self.own.address.failure_domain
@@ -302,23 +306,23 @@
     def _apply_rates(
         self, reporter: str, rows: Sequence[RateRow], received: ReceivedDatagram
     ) -> None:
-        """Take in limits of replicas; their age is counted as that of news is."""
+        """Apply rate limits of replicas; their age is computed as in ``_apply_news``."""
         written_at = self._answered_at(received)
         if written_at is not None and rows:
             self._rates.heard(reporter, rows, written_at)
 
     def _answered_at(self, received: ReceivedDatagram) -> float | None:
-        """Return a moment that is not after the writing of a datagram, None where none is known."""
+        """Return a lower bound for the time at which a datagram was written, None if unknown."""
         if received.answers_run != self.own.incarnation:
             return None
         return self._builder.sent_at(received.answers)
 
     def _apply_news(self, received: ReceivedDatagram) -> None:
-        """Take in what a peer knows of the published state.
+        """Apply what a peer knows of the published state.
 
-        How long a datagram was on its way cannot be seen: it may have waited here while this VM
-        was suspended. So its age is counted from when this entry sent the datagram that the peer
-        answers to, which was before the peer wrote its answer.
+        The transit time of a datagram is unknown: it may have waited in the receive buffer while
+        this VM was suspended. Its age is therefore counted from the time at which this entry sent
+        the datagram that the peer acknowledges, which is before the peer wrote its own.
         """
         if received.answers_run != self.own.incarnation:
             return
@@ -328,14 +332,14 @@
             self.on_news(received.hello.news, sent_at - received.hello.news.age)
 
     def _add_unknown(self, ips: list[str]) -> None:
-        """Say hello to entries that a peer hears and this one does not."""
+        """Add the entries that a peer knows and this one does not to the seeds."""
         unknown = frozenset(ips) - frozenset(self._peers.ips()) - {self.own.address.ip}
         self._seeds |= unknown
 
     def _update_part(self) -> None:
-        """See whether this entry tells for others now; what it was told so far ends with a change.
+        """Update the role of this entry, and discard all received reports if it changes.
 
-        Kept, a request would count twice: from its own entry and from a delegate.
+        Otherwise a request could count twice, once from its own entry and once from a delegate.
         """
         part = Part.EQUAL
         if self.peak_entries > FULL_MESH_MAX_ENTRIES:
@@ -343,7 +347,7 @@
             part = Part.DELEGATE if is_delegate else Part.MEMBER
         if part is self._builder.part:
             return
-        logger.bind(part=part.value, entries=len(self._peers) + 1).info("part in the exchange")
+        logger.bind(part=part.value, entries=len(self._peers) + 1).info("gossip role changed")
         self._builder.part = part
         for reporter in self._loads.tellers():
             self._forget_reporter(reporter)
@@ -354,10 +358,10 @@
         self.own.told_refusing.pop(reporter, None)
 
     async def send_rounds(self, send: Send) -> None:
-        """Tell receivers and seeds in turn until cancelled.
+        """Send rounds of datagrams to receivers and seeds until cancelled.
 
         Args:
-            send: Sends a datagram to an IP number.
+            send: Sends a datagram to an IP address.
         """
         seeds_due = float("-inf")
         while True:
@@ -375,10 +379,10 @@
             await self._wait_for_round(send)
 
     async def _wait_for_round(self, send: Send) -> None:
-        """Wait until peers are to be told again; greet those that are met meanwhile at once.
+        """Wait for the next round, and introduce this entry to new peers immediately meanwhile.
 
-        An entry that starts learns so in a few milliseconds what its peers know, and need not read
-        it from the store.
+        A starting entry thus receives the state of its peers within a few milliseconds and doesn't
+        need to read it from the store.
         """
         began_at = self._clock.monotonic()
         due_at = began_at + self._builder.interval * self._rng.uniform(0.9, 1.1)
@@ -410,10 +414,10 @@
 
 
 def _digest(datagram: Datagram) -> Digest | None:
-    """Return what a datagram tells for others.
+    """Decode the digest of a datagram.
 
     Raises:
-        ValueError: A phase is not known.
+        ValueError: A phase is unknown.
     """
     digest: Digest | None = msgspec.msgpack.decode(datagram.digest, type=Digest | None)
     for row in digest.members or () if digest is not None else ():
--- a/carawayhub/gateway/peers.py
+++ b/carawayhub/gateway/peers.py
@@ -1,4 +1,4 @@
-"""Which other entries are known, and who of them acts for others."""
+"""Known peers, and the selection of delegates and readers among them."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -8,33 +8,34 @@
 from carawayhub.gateway.hello import Hello, MemberRow, PeerEntry, Phase
 
 READER_COUNT = 2
-"""Entries that read the published state for all, in different failure domains. With one, its loss
-would leave all without proofs until another takes over; a third added calls alone."""
+"""Number of entries, in different failure domains, that read the published state for all. With only
+one, its loss would leave all entries without proofs until another takes over. A third would only
+add calls to the store."""
 
 REPORTED_PEER_TTL_SECONDS = 3.0
-"""Seconds after which an entry counts as gone that only a delegate told of and names no more: a
-few of the lists of members that it tells."""
+"""Time after which an entry that only a delegate has reported is removed if it isn't reported again;
+this covers a few member lists."""
 
 
 MISSING_TTL_SECONDS = 20.0
-"""Seconds for which an entry that is gone is held to send requests still, while most others are
-heard: it may only be cut off from this one."""
+"""Time for which a removed entry is assumed to keep sending requests, while most others are
+reachable: it may only be partitioned from this one."""
 
 DIRECT_CONTACT_SECONDS = 0.7
-"""Seconds since an entry was heard itself after which a delegate is believed that does not name it:
-a little more than those after which the delegate finds its silence."""
+"""Time since the last datagram of an entry after which its absence from a delegate's member list is
+believed. It is slightly longer than the timeout by which the delegate itself removes the entry."""
 
 
 class Peers:
-    """The other entries that are known.
+    """Registry of the other known entries.
 
     Args:
-        ip: IP number of this entry.
-        failure_domain: Where it stands.
+        ip: IP address of this entry.
+        failure_domain: Failure domain of this entry.
 
     Attributes:
-        most: Most entries known at one time, this one among them; 0 while none was heard.
-        grown_at: When that grew last.
+        peak: Largest number of entries known at once, including this one; 0 before the first peer.
+        grown_at: Time at which ``peak`` last increased.
     """
 
     __slots__ = ("_by_ip", "_domain", "_ip", "_missing", "grown_at", "peak")
@@ -51,11 +52,11 @@
         return len(self._by_ip)
 
     def get(self, ip: str) -> PeerEntry | None:
-        """Return the peer at an IP number."""
+        """Return the peer with an IP address."""
         return self._by_ip.get(ip)
 
     def ips(self) -> list[str]:
-        """Return the IP numbers of all peers."""
+        """Return the IP addresses of all peers."""
         return list(self._by_ip)
 
     def all(self) -> Iterable[PeerEntry]:
@@ -63,22 +64,22 @@
         return self._by_ip.values()
 
     def in_own_domain(self) -> list[PeerEntry]:
-        """Return the peers of this entry's failure domain."""
+        """Return the peers in this entry's failure domain."""
         return [each for each in self._by_ip.values() if each.failure_domain == self._domain]
 
     def is_newer(self, hello: Hello) -> bool:
-        """Return whether a datagram says something new; datagrams may overtake each other."""
+        """Return whether a hello is newer than the last one; datagrams may arrive out of order."""
         known = self._by_ip.get(hello.ip)
         if known is None or known.incarnation != hello.incarnation:
             return True
         return hello.number > known.number
 
     def record_hello(self, hello: Hello, phase: Phase, now: float, timeout: float) -> bool:
-        """Note what a peer says of itself; return whether this run of it was not heard before."""
+        """Record a hello; return whether it is the first one received from this run of the peer."""
         known = self._by_ip.get(hello.ip)
         until = now + timeout
         if known is not None and known.incarnation == hello.incarnation:
-            # A delegate that told of it vouches for it longer than its own greeting does.
+            # A delegate's report may be valid for longer than the peer's own introduction.
             until = max(until, known.reported_until)
         self._put(
             PeerEntry(
@@ -98,12 +99,12 @@
         return known is None or not known.number or known.incarnation != hello.incarnation
 
     def record_members(self, rows: Iterable[MemberRow], domain: str | None, now: float) -> None:
-        """Note which entries a delegate tells of; those that it does not name are gone.
+        """Record the entries that a delegate reports, and remove those that it doesn't report.
 
         Args:
-            rows: The entries.
-            domain: The failure domain that it tells for, None for all.
-            now: The present time.
+            rows: Reported entries.
+            domain: Failure domain that the report covers, None for all.
+            now: Current time.
         """
         named = set()
         for row in rows:
@@ -117,7 +118,7 @@
             and domain in (None, each.failure_domain)
             and now - each.heard_at > DIRECT_CONTACT_SECONDS
         ]
-        self.drop(gone, "not named any more", now)
+        self.drop(gone, "no longer reported by the delegate", now)
 
     def _reported_entry(self, row: MemberRow, now: float) -> PeerEntry:
         known = self._by_ip.get(row.ip)
@@ -151,13 +152,14 @@
             entry.incarnation,
         )
         if changed:
-            logger.bind(peer=entry.ip, phase=entry.phase.name).info("peer heard")
+            logger.bind(peer=entry.ip, phase=entry.phase.name).info("peer started or changed phase")
 
     def reachable_fraction(self, now: float) -> float:
-        """Return the part of all entries that is heard of, this one among them.
+        """Return the fraction of all entries that are reachable, including this one.
 
-        Entries that are gone count as cut off for some time, and for as long as fewer are heard
-        than missed: who hears nobody is more likely to be cut off itself than to be alone.
+        Removed entries count as partitioned for some time, and for as long as they outnumber the
+        reachable ones: an entry that receives nothing is more likely to be partitioned itself than
+        to be the only one running.
         """
         self._forget_missing(now)
         reachable = len(self._by_ip) + 1
@@ -169,37 +171,38 @@
             self._missing = {ip: at for ip, at in self._missing.items() if at > oldest}
 
     def drop(self, ips: Iterable[str], reason: str, now: float) -> None:
-        """Forget peers that are gone."""
-        # Nobody may ask for the part for weeks, in which replaced entries would outnumber the rest.
+        """Remove peers."""
+        # ``reachable_fraction`` may not be called for weeks. Without this call, replaced entries
+        # would accumulate until they outnumber the reachable ones, and never expire.
         self._forget_missing(now)
         for ip in ips:
-            gone = self._by_ip.pop(ip)
-            if gone.phase is not Phase.LEAVING:
+            peer = self._by_ip.pop(ip)
+            if peer.phase is not Phase.LEAVING:
                 self._missing[ip] = now
-            logger.bind(peer=ip, phase=gone.phase.name, reason=reason).warning("peer is gone")
+            logger.bind(peer=ip, phase=peer.phase.name, reason=reason).warning("peer removed")
 
     def silent(self, now: float) -> list[str]:
-        """Return the peers that count as gone."""
+        """Return the peers whose timeout has passed."""
         return [each.ip for each in self._by_ip.values() if each.expires_at <= now]
 
     def in_phase(self, phase: Phase, now: float) -> list[PeerEntry]:
-        """Return the peers that live and say this of themselves."""
+        """Return the live peers in a phase."""
         return [
             each for each in self._by_ip.values() if each.phase is phase and each.expires_at > now
         ]
 
     def ahead_of(self, revision: int) -> list[PeerEntry]:
-        """Return the peers that know more than a revision."""
+        """Return the peers with a newer revision."""
         return [each for each in self._by_ip.values() if each.revision > revision]
 
     def readers(self, own_fits: bool) -> frozenset[str]:
         """Return the entries that read the published state for all.
 
-        Entries that know the same choose the same ones, in as many failure domains as there are;
-        who knows less may read as well, which costs some calls and no more.
+        Entries with the same list of peers select the same readers, in different failure domains if
+        possible. An entry that knows fewer peers may also read, which only costs extra calls.
 
         Args:
-            own_fits: Whether this entry may be one.
+            own_fits: Whether this entry is a candidate.
         """
         fit = (Phase.STARTING, Phase.READY)
         candidates = [
@@ -212,10 +215,10 @@
         return pick_across_domains(candidates, READER_COUNT)
 
     def delegate(self, leaving: bool) -> str:
-        """Return the entry that tells for this one's failure domain, empty where there is none.
+        """Return the IP address of this failure domain's delegate, or an empty string.
 
         Args:
-            leaving: Whether this entry stops.
+            leaving: Whether this entry is stopping.
         """
         fit = [each.ip for each in self.in_own_domain() if each.phase is not Phase.LEAVING]
         if not leaving:
@@ -223,7 +226,7 @@
         return min(fit, default="")
 
     def other_delegates(self) -> list[str]:
-        """Return the entries that tell for the other failure domains."""
+        """Return the IP addresses of the delegates of the other failure domains."""
         by_domain: dict[str, list[str]] = {}
         for each in self._by_ip.values():
             if each.failure_domain != self._domain and each.phase is not Phase.LEAVING:
@@ -232,11 +235,11 @@
 
 
 def pick_across_domains(entries: Sequence[tuple[str, str]], count: int) -> frozenset[str]:
-    """Return the entries that act for all: the first of each failure domain, then the second ones.
+    """Select entries: the first by IP address in each failure domain, then the second ones.
 
     Args:
-        entries: Failure domain and IP number of each that may.
-        count: How many are wanted.
+        entries: Failure domain and IP address of each candidate.
+        count: Number of entries to select.
     """
     seen: Counter[str] = Counter()
     order = []
--- a/carawayhub/gateway/tally.py
+++ b/carawayhub/gateway/tally.py
@@ -72,9 +72,7 @@
         self._times: dict[str, Recorder] = {}
         self._ended_under_requests: Counter[str] = Counter()
 
-    def request_ended(
-        self, route: str, organisation: str, code: Code, status: int, seconds: float
-    ) -> None:
+    def ended(self, route: str, organisation: str, code: Code, status: int, seconds: float) -> None:
         """Count the end of a request."""
         self._ends[(route, organisation, code, status)] += 1
         recorder = self._times.get(route)
@@ -82,13 +80,13 @@
             recorder = self._times[route] = Recorder()
         recorder.record(seconds)
 
-    def table_applied(self, max_delay: float) -> None:
+    def table_applied(self, late_at_most: float) -> None:
         """Record for how many seconds a configuration may have been published before.
 
         The first one of a process has nothing to be counted from.
         """
-        if not math.isinf(max_delay):
-            self._table_delays.record(max_delay)
+        if not math.isinf(late_at_most):
+            self._table_delays.record(late_at_most)
 
     def endpoint_ended(self, service: str) -> None:
         """Count a request whose endpoint ended while it worked on it."""
--- a/carawayhub/gateway/telling.py
+++ b/carawayhub/gateway/telling.py
@@ -1,11 +1,12 @@
-"""What an entry tells other entries of itself, and as a delegate for others.
-
-In a small fleet each entry tells all others. In a large one that would be 98 times 97 datagrams a
-round, each of them late for want of rate and most of them across failure domains; there each entry
-tells the delegate of its failure domain, the first one by IP number, delegates tell each other for
-their domains, and each tells its domain for all others. What is known of load is so three short
-steps old, and across domains go a few datagrams a round. Where a delegate is lost, the next one
-finds that out by its silence.
+"""Builds the gossip datagrams that an entry sends about itself and, as a delegate, about others.
+
+In a small fleet each entry sends to all others. With 98 entries that would be 98 * 97 datagrams per
+round, most of them across failure domains, and the rate limit would delay each one. In a large
+fleet each entry therefore sends only to the delegate of its failure domain, which is the entry with
+the lowest IP address as a string. Delegates exchange digests of their domains, and each delegate
+forwards the rest of the fleet to its own domain. Load information then travels three hops, and only
+a few datagrams per round cross failure domains. When a delegate stops sending, its entry expires at
+the other entries and the next one takes over.
 """
 
 from collections.abc import Callable, Iterable
@@ -31,49 +32,50 @@
 from carawayhub.limits.replicarate import ReplicaRates
 
 GOSSIP_INTERVAL_SECONDS = 0.1
-"""Seconds between two datagrams to a receiver: a place that a peer frees is known within a tenth of
-the second or so that a request takes."""
+"""Interval between two datagrams to one receiver. It is a tenth of a typical request duration of one
+second, so a slot released at a peer becomes known soon enough."""
 
 MAX_DATAGRAMS_PER_SECOND = 300.0
-"""Most datagrams that one entry sends a second: a hundredth of a core or two. A delegate of a large
-failure domain tells each entry less often."""
+"""Limit for one entry, which keeps the cost at one or two hundredths of a core. A delegate of a large
+failure domain sends to each entry less often."""
 
 PROPAGATION_HOPS = 3
-"""Intervals that news take by way of delegates."""
+"""Gossip intervals until an update has passed through both delegates to all entries."""
 
 DOMAIN_HELLO_ROUNDS = 6
-"""Rounds of which in one an entry tells those of its own failure domain that are no delegates that
-it lives: they take its place as a delegate or it takes theirs."""
+"""A member sends a hello to the other members of its failure domain once in this many rounds, so
+that they can take over from each other as delegate."""
 
 MEMBER_LIST_ROUNDS = 8
-"""Rounds of which one names the peers, which change seldom."""
+"""The member list is sent once in this many rounds, as it rarely changes."""
 
 INTRODUCTION_INTERVAL_SECONDS = 0.5
-"""Seconds for which who is greeted waits for a further word: until a delegate has told of it."""
+"""Interval announced in an introduction. The receiver keeps the sender for a multiple of it, until a
+delegate has reported the sender."""
 
 MAX_SENT_TIMES = 256
-"""Datagrams whose time is remembered, for peers to answer to: those of several seconds."""
+"""Send times kept for matching acknowledgements by peers; this covers several seconds."""
 
 MAX_REFUSING = 64
-"""Refusing endpoints that one datagram names: a kilobyte."""
+"""Refusing endpoints listed in one datagram, which take about a kilobyte."""
 
 MAX_WORK_ROWS = 4_000
-"""Endpoints whose work one datagram tells; those with most requests where there are more. A row
-takes about eleven bytes."""
+"""Endpoints whose work is listed in one datagram, at about eleven bytes per row. If there are more,
+those with the most requests are kept."""
 
 VIA_DELEGATE = "others"
-"""Teller of the work that an entry's delegate told of."""
+"""Reporter name under which a member stores what its delegate reports about all other entries."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OwnAddress:
-    """Where this entry is found.
+    """Addresses of this entry.
 
     Attributes:
-        ip: IP number that peers send to.
-        port: Port of all entries for this exchange.
-        callers: ``ip:port`` at which it takes callers.
-        failure_domain: Where it stands.
+        ip: IP address that peers send to.
+        port: UDP port that all entries use for gossip.
+        callers: ``ip:port`` that accepts callers.
+        failure_domain: Failure domain of this entry.
     """
 
     ip: str
@@ -83,7 +85,7 @@
 
 
 class Part(Enum):
-    """The part of an entry in the exchange."""
+    """Role of an entry in the gossip exchange."""
 
     EQUAL = "each tells all"
     MEMBER = "tells its delegate"
@@ -91,19 +93,19 @@
 
 
 class OwnState:
-    """What this entry has to tell of itself.
+    """State that this entry announces to its peers.
 
     Args:
-        place: Where it is found.
-        incarnation: Names this run, drawn at random.
+        address: Addresses of this entry.
+        incarnation: Random ID of this run of the process.
 
     Attributes:
-        place: The same.
-        incarnation: The same.
-        phase: What it says of itself.
-        news: Gives what it knows of the published state.
-        refusing: Gives the endpoints that have just refused requests of it.
-        told_refusing: Those that refused requests of others, by who told of them.
+        address: Addresses of this entry.
+        incarnation: Random ID of this run of the process.
+        phase: Announced phase.
+        news: Returns what this entry knows of the published state.
+        refusing: Returns the endpoints that recently refused requests of this entry.
+        told_refusing: Endpoints that refused requests of other entries, by reporter.
     """
 
     __slots__ = ("address", "incarnation", "news", "phase", "refusing", "told_refusing")
@@ -117,7 +119,7 @@
         self.told_refusing: dict[str, list[str]] = {}
 
     def row(self) -> MemberRow:
-        """Return what others are told of it by its delegate."""
+        """Return the row that a delegate sends about this entry."""
         address = self.address
         return MemberRow(
             address.ip,
@@ -131,25 +133,25 @@
 
 @dataclass(frozen=True, slots=True)
 class _NumberedHello:
-    """A hello as it is sent, and its number."""
+    """An encoded hello and its sequence number."""
 
     number: int
     hello: msgspec.Raw
 
 
 class DatagramBuilder:
-    """Makes the datagrams that an entry sends.
+    """Builds the datagrams of each gossip round.
 
     Args:
-        own: What it has to tell of itself.
-        peers: The other entries.
+        own: State that this entry announces.
+        peers: The other known entries.
         loads: Work in flight.
-        poison_news: Requests under which endpoints ended.
-        rates: Limits that replicas name, and requests sent to them.
+        poison_news: Requests during which endpoints crashed.
+        rates: Rate limits reported by replicas, and requests sent to them.
         clock: Source of time.
 
     Attributes:
-        part: Its part in the exchange.
+        part: Role of this entry in the exchange.
     """
 
     __slots__ = (
@@ -189,7 +191,7 @@
 
     @property
     def interval(self) -> float:
-        """Seconds between two datagrams to each receiver."""
+        """Seconds between two datagrams to one receiver."""
         match self.part:
             case Part.EQUAL:
                 receivers = len(self._peers)
@@ -204,7 +206,7 @@
 
     @property
     def propagation_seconds(self) -> float:
-        """Seconds until all entries know of a choice of this one."""
+        """Seconds until a routing decision of this entry is known to all entries."""
         if self.part is Part.EQUAL:
             return self.interval
         interval = max(
@@ -213,18 +215,18 @@
         return PROPAGATION_HOPS * interval
 
     def sent_at(self, number: int) -> float | None:
-        """Return when a datagram was sent, None where that is too long ago."""
+        """Return when a datagram was sent, or None if its send time is no longer kept."""
         return self._sent.get(number)
 
     def delegate(self) -> str:
-        """Return the entry that tells for this one's failure domain, empty where there is none."""
+        """Return the IP address of this failure domain's delegate, or an empty string."""
         return self._peers.delegate(self._own.phase is Phase.LEAVING)
 
     def round(self, *, urgent: bool) -> dict[str, bytes]:
-        """Return the datagrams of one round by receiver.
+        """Return the datagrams of one round, by receiver.
 
         Args:
-            urgent: Whether there is news that all should have at once.
+            urgent: Whether there is an update that all entries need immediately.
         """
         self._rounds += 1
         hello = self._hello(self._rows(self._loads.own()), names_peers=self._is_member_list_due())
@@ -240,14 +242,14 @@
                 return self._to_members(hello) | self._to_delegates()
 
     def introductions(self, ips: Iterable[str]) -> dict[str, bytes]:
-        """Return the datagrams for entries that have just been met, or may live."""
+        """Return datagrams for newly discovered entries and for seeds that may be running."""
         hello = self._hello([], names_peers=True, interval=INTRODUCTION_INTERVAL_SECONDS)
         return {ip: self._datagram(ip, hello) for ip in sorted(ips)}
 
     def _to_own_domain(self, urgent: bool) -> dict[str, bytes]:
-        """Return what the others of the failure domain are told, who tell for it one day.
+        """Return the hellos to other members of the failure domain, which may become delegates.
 
-        Requests under which endpoints ended are told to the delegate alone, who tells them on.
+        Requests during which endpoints crashed are sent only to the delegate, which forwards them.
         """
         if self._rounds % DOMAIN_HELLO_ROUNDS and not urgent:
             return {}
@@ -258,7 +260,7 @@
         }
 
     def _to_delegates(self) -> dict[str, bytes]:
-        """Return what the other delegates are told for this entry's failure domain."""
+        """Return the datagrams to other delegates, with a digest of this failure domain."""
         in_own_domain = self._peers.in_own_domain()
         reporters = [each.ip for each in in_own_domain]
         digest = _raw(
@@ -275,9 +277,9 @@
         return {ip: self._datagram(ip, hello, digest) for ip in self._peers.other_delegates()}
 
     def _to_members(self, hello: _NumberedHello) -> dict[str, bytes]:
-        """Return what the entries of this one's failure domain are told for all others.
+        """Return the datagrams to members of this failure domain, with a digest of the fleet.
 
-        Each is told the work of all but itself, which it knows better.
+        The digest for a member leaves out that member's own work, which it knows more exactly.
         """
         names = self._members_if_due(VIA_DELEGATE, [each.row() for each in self._peers.all()])
         refusing = self._refusing(self._own.told_refusing)
@@ -290,7 +292,7 @@
         return datagrams
 
     def _members_if_due(self, receivers: str, members: list[MemberRow]) -> list[MemberRow] | None:
-        """Return the members where they have changed or are due to be named again."""
+        """Return the members if they have changed or are due to be sent again, otherwise None."""
         if members == self._last_members.get(receivers) and not self._is_member_list_due():
             return None
         self._last_members[receivers] = members
--- a/tests/test_platform_metrics.py
+++ b/tests/test_platform_metrics.py
@@ -58,8 +58,8 @@
     def test_entry_tells_ends_and_quantiles_of_each_route(self) -> None:
         tally = Tally()
         for _ in range(9):
-            tally.request_ended("songs", "armor", Code.OK, 200, 0.02)
-        tally.request_ended("songs", "armor", Code.OVERLOADED, 503, 0.001)
+            tally.ended("songs", "armor", Code.OK, 200, 0.02)
+        tally.ended("songs", "armor", Code.OVERLOADED, 503, 0.001)
         app = probe_app(lambda: True, list, tally.page)
         text = get(app, METRICS_PATH)[1].splitlines()
         labels = 'route="songs",organisation="armor",code="0",status="200"'
