--- a/carawayhub/gateway/__init__.py
+++ b/carawayhub/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The front of the fleet for callers that know only HTTP: routes, admission, relaying, retries.
+"""HTTP gateway of the fleet: routing, admission control, relaying and retries.
 
-Nothing here knows how the users' platform spells its messages; `carawayhub.platform` translates.
+This package is independent of the platform's wire format, which `carawayhub.platform` translates.
 """
--- a/carawayhub/gateway/directory.py
+++ b/carawayhub/gateway/directory.py
@@ -1,4 +1,4 @@
-"""Which entries callers are told to use."""
+"""Selection of the entries announced to callers."""
 
 import random
 
@@ -6,20 +6,20 @@
 from carawayhub.gateway.hello import Phase
 
 MAX_ADDRESSES = 64
-"""Addresses that a caller reads of one answer."""
+"""Maximum number of addresses that a caller reads from one answer."""
 
 ANSWER_TTL_SECONDS = 1.0
-"""Seconds for which callers are asked to keep an answer. Some keep it three times as long; a
-stopping entry must serve until then, and a caller of a dead one loses up to that time."""
+"""Time for which callers are asked to cache an answer. Some cache it for three times as long. A
+stopping entry must keep serving until then, and a caller of a crashed entry may lose that time."""
 
 
 class EntryDirectory:
-    """Answers callers that ask where to connect.
+    """Provides the addresses to which callers may connect.
 
     Args:
-        gossip: Knows the other entries.
+        gossip: Provides the other entries.
         own: ``ip:port`` of this entry for callers.
-        rng: Draws the entries named by answers that cannot name all.
+        rng: Selects the entries for an answer that can't list all of them.
     """
 
     __slots__ = ("_gossip", "_own", "_rng")
@@ -30,10 +30,10 @@
         self._rng = rng
 
     def addresses(self) -> list[str]:
-        """Return the addresses of entries that take callers, each with equal chance.
+        """Return the addresses of entries that accept callers, a uniform sample if there are many.
 
-        While the store answers none of them, all are out of touch with it: then those are named,
-        since they still serve what needs no key and tell the rest truly when to come back.
+        If no entry can reach the store, the entries out of touch with it are returned. They still
+        serve requests that need no key, and return an accurate retry time for others.
         """
         found = self._in_phase(Phase.READY) or self._in_phase(Phase.OUT_OF_TOUCH)
         if len(found) > MAX_ADDRESSES:
--- a/carawayhub/gateway/events.py
+++ b/carawayhub/gateway/events.py
@@ -1,4 +1,4 @@
-"""Whole events out of the pieces of a stream."""
+"""Splitting of an event stream into complete events."""
 
 from dataclasses import dataclass
 
@@ -8,44 +8,44 @@
 
 @dataclass(slots=True)
 class EventBuffer:
-    """Cuts a stream at the ends of its events.
+    """Buffers a stream so that only complete events are forwarded.
 
-    An endpoint that crashes may break off within an event. What was forwarded of it could not be
-    taken back, and the endpoint at which the stream goes on sends that event from its start. So an
-    event is kept back until it is whole. Events up to the last one forwarded are dropped, should an
-    endpoint begin earlier than it was asked to.
+    A crashing endpoint may cut off the stream in the middle of an event. The forwarded part can't
+    be taken back, and the endpoint that resumes the stream sends the event again from its start. An
+    event is therefore buffered until it is complete. If an endpoint resumes earlier than requested,
+    the events up to the last forwarded one are dropped.
 
     Attributes:
-        last_id: Id of the last whole event, empty before the first.
+        last_id: ID of the last complete event, empty before the first.
     """
 
     last_id: bytes = b""
-    _rest: bytes = b""
+    _partial: bytes = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that ``data`` completes, in one piece."""
-        pending = self._rest + data
+        """Return the events that ``data`` completes, concatenated."""
+        pending = self._partial + data
         events: list[bytes] = []
         start = 0
         while (end := _event_end(pending, start)) > 0:
             event = pending[start:end]
             start = end
-            if self._take(event):
+            if self._accept(event):
                 events.append(event)
-        self._rest = pending[start:]
+        self._partial = pending[start:]
         return b"".join(events)
 
     def restart(self) -> None:
-        """Forget the unfinished event: the stream goes on over a new connection."""
-        self._rest = b""
+        """Discard the incomplete event before the stream is resumed on a new connection."""
+        self._partial = b""
 
     @property
     def unfinished(self) -> bool:
-        """Whether a part of an event is kept back."""
-        return bool(self._rest.strip())
+        """Whether a part of an event is buffered."""
+        return bool(self._partial.strip())
 
-    def _take(self, event: bytes) -> bool:
-        """Note the id of an event; return False if it was forwarded before."""
+    def _accept(self, event: bytes) -> bool:
+        """Record the ID of an event; return False if it was forwarded before."""
         found = _event_id(event)
         if not found:
             return True
@@ -56,7 +56,7 @@
 
 
 def _event_end(data: bytes, start: int) -> int:
-    """Return where the event that begins at ``start`` ends, 0 if it is not whole."""
+    """Return the end of the event that begins at ``start``, 0 if it is incomplete."""
     ends = [at + len(line) for line in BLANK_LINES if (at := data.find(line, start)) >= 0]
     return min(ends, default=0)
 
--- a/carawayhub/gateway/gossip.py
+++ b/carawayhub/gateway/gossip.py
@@ -55,8 +55,8 @@
 """Interval between two datagrams to a seed that is not a known peer."""
 
 DISCOVERY_INTERVAL_SECONDS = 0.15
-"""Interval to seeds while no peer is known. It is short because a starting entry waits for the state
-that its peers have."""
+"""Interval to seeds while no peer is known. It is short because a starting entry waits for the
+state that its peers have."""
 
 MIN_ROUND_INTERVAL_SECONDS = 0.1
 """Shortest time between two rounds, also for urgent updates."""
@@ -64,29 +64,30 @@
 INCARNATION_BITS = 32
 
 SETTLED_SECONDS = 1.0
-"""Time without a newly discovered entry after which the membership is considered complete. It covers
-a few rounds, each of which may list more entries."""
+"""Time without a newly discovered entry after which the membership is considered complete. It
+covers a few rounds, each of which may list more entries."""
 
 Send = Callable[[str, bytes], Awaitable[None]]
 
 
 class Gossip:
-    """Exchanges news with the other entries.
+    """Exchanges state with the other entries.
 
     Args:
-        place: Where this entry is found.
-        seeds: IP numbers of entries that may live.
-        loads: Own work to tell, and where that of peers goes.
-        records: Under which requests endpoints ended, here and at peers.
-        rates: Limits that replicas name, and requests sent to them, here and at peers.
+        address: Addresses of this entry.
+        seeds: IP addresses of entries that may be running.
+        loads: Work in flight; provides this entry's own and stores that of peers.
+        records: Requests during which endpoints crashed, here and at peers.
+        rates: Rate limits reported by replicas and requests sent to them, here and at peers.
         clock: Source of time.
         rng: Source of jitter.
 
     Attributes:
-        own: What this entry tells of itself.
-        on_loads: Called after each datagram that was taken in.
-        on_news: Called with what a peer knows, and with the time of its proof by this clock.
-        on_refusing: Called with those that refuse requests of a peer.
+        own: State that this entry announces.
+        on_loads: Called after each applied datagram with a new hello.
+        on_news: Called with what a peer knows of the published state, and with the time, by this
+            entry's clock, at which that was last proved to be current.
+        on_refusing: Called with the endpoints that refuse requests of a peer.
     """
 
     __slots__ = (
@@ -162,7 +163,7 @@
         return self.peak_entries if settled else 0
 
     def reachable_fraction(self) -> float:
-        """Return the fraction of all entries that this one receives updates about, itself included."""
+        """Return the fraction of all entries that are reachable, including this one."""
         if not self._peers and not self._seeds:
             return 1.0
         if not self.settled_entries():
@@ -390,8 +391,8 @@
             until = began_at + MIN_ROUND_INTERVAL_SECONDS if self._urgent else due_at
             if now >= until:
                 return
-            new_peers, self._new_peers = self._new_peers, set()
-            for ip, data in self._builder.introductions(new_peers).items():
+            met, self._new_peers = self._new_peers, set()
+            for ip, data in self._builder.introductions(met).items():
                 await send(ip, data)
             with anyio.move_on_after(until - now):
                 await self._wake.wait()
--- a/carawayhub/gateway/handing.py
+++ b/carawayhub/gateway/handing.py
@@ -1,9 +1,9 @@
-"""Published content handed on among entries, so that few of them read the store.
+"""Forwarding of published content among entries, so that few of them read the store.
 
-The load pattern this answers: 98 entries that each read every change, and all at once when the
-fleet starts or a configuration follows the other. Each read has a price and the rate of all
-together is limited. An entry that hears of a newer revision asks a peer that knows it, and reads
-for itself only where no peer can tell.
+Otherwise 98 entries would each read every change, all at once when the fleet starts or when
+configurations follow in quick succession. Each read has a cost, and the total rate is limited. An
+entry that learns of a newer revision asks a peer that has it, and reads the store only if no peer
+can answer.
 """
 
 import msgspec
@@ -16,21 +16,21 @@
 from carawayhub.peers.questions import Answer, Question, QuestionLink
 
 PUBLISHED = "published"
-"""Subject of the question for what was published beyond a revision."""
+"""Subject of questions for the content published after a revision."""
 
 MAX_PEERS_ASKED = 2
-"""Peers that are asked one after the other. Where two that know more do not answer, the network is
-the trouble, and the store may be within reach."""
+"""Number of peers asked in turn. If two peers with a newer revision don't answer, the network is
+likely at fault, and the store may still be reachable."""
 
 
 class ContentForwarder:
-    """Hands published content on to peers and takes it from them.
+    """Forwards published content to peers and requests it from them.
 
     Args:
-        ip: IP number of this VM.
-        port: Port of all entries for this exchange.
-        mirror: What was read of the published state.
-        gossip: Knows which peers know more.
+        ip: IP address of this VM.
+        port: Port that all entries use for this exchange.
+        mirror: Local copy of the published state.
+        gossip: Provides the peers with a newer revision.
         pace: Spreads answers over time.
     """
 
@@ -46,7 +46,7 @@
         await self._link.run()
 
     async def fetch_after(self, revision: int) -> ForwardedContent | None:
-        """Return what peers know beyond a revision, None where none can tell."""
+        """Return the content after a revision from a peer, None if no peer can provide it."""
         for ip in self._gossip.peers_ahead_of(revision)[:MAX_PEERS_ASKED]:
             answer = await self._link.ask(ip, PUBLISHED, msgspec.msgpack.encode(revision))
             if answer is None or not answer.ok:
@@ -61,18 +61,20 @@
             return self._mirror.take(content)
         except PlatformError as exc:
             logger.bind(peer=ip, code=int(exc.code), error=str(exc)).warning(
-                "content of a peer cannot be read"
+                "discarded malformed content from a peer"
             )
             return None
 
     async def answer(self, question: Question, ip: str) -> Answer:
-        """Return what is known here beyond the revision that a peer names."""
+        """Return the content after the revision that a peer sends."""
         content: bytes | None = None
         try:
             revision = msgspec.msgpack.decode(question.content, type=int)
             content = self._mirror.encode_after(revision)
         except msgspec.DecodeError as exc:
-            logger.bind(peer=ip, error=str(exc)).warning("question of a peer cannot be read")
+            logger.bind(peer=ip, error=str(exc)).warning(
+                "discarded a malformed question from a peer"
+            )
         return Answer(
             number=question.number,
             asker=question.asker,
--- a/carawayhub/gateway/hello.py
+++ b/carawayhub/gateway/hello.py
@@ -1,4 +1,4 @@
-"""Messages between entries, and what is remembered of a peer that sent one."""
+"""Gossip messages between entries, and the record kept of each peer."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class Phase(IntEnum):
-    """What an entry says of itself."""
+    """Phase that an entry announces."""
 
     STARTING = 0
     READY = 1
@@ -20,13 +20,13 @@
 
 
 class WorkRow(msgspec.Struct, array_like=True):
-    """Work at one endpoint; see ``Work``.
+    """Work in flight at one endpoint; see ``Work``.
 
     Attributes:
-        key: Stands for the endpoint; see ``loads.work_key``.
-        requests: Requests that were sent and not answered in full.
-        reading: Prompt tokens of those whose first event has not come.
-        tokens: Tokens that they hold in memory.
+        key: Hash that identifies the endpoint; see ``loads.work_key``.
+        requests: Requests sent and not yet answered completely.
+        reading: Prompt tokens of requests whose first event hasn't been received.
+        tokens: Tokens that the requests hold in engine memory.
     """
 
     key: int
@@ -39,10 +39,11 @@
     """What an entry knows of the published state.
 
     Attributes:
-        revision: Everything up to it is known.
-        age: Seconds since that was proved to be the newest, when the datagram was written.
-        grace: Seconds for which entries that are removed are held to have lapsed only.
-        reads: Whether the published state answers the sender.
+        revision: Revision up to which everything is known.
+        age: Seconds between the last proof that this revision was the newest and the writing of
+            the datagram.
+        grace: Seconds for which removed registrations are assumed to have merely expired.
+        reads: Whether the sender can read the published state.
     """
 
     revision: int
@@ -52,21 +53,21 @@
 
 
 class Hello(msgspec.Struct, array_like=True, kw_only=True):
-    """What an entry says of itself.
+    """State that an entry announces.
 
     Attributes:
-        ip: IP number of the sender.
-        incarnation: Names this run of the sender.
-        number: Grows with each round of datagrams of this run.
-        phase: Its phase.
-        callers: ``ip:port`` at which it takes callers.
-        failure_domain: Where it stands.
-        interval: Seconds to its next datagram.
-        peers: IP numbers of entries that it hears; empty where this datagram does not name them.
-        works: Its own work in flight, empty for receivers that hear of it from others.
+        ip: IP address of the sender.
+        incarnation: Random ID of this run of the sender.
+        number: Sequence number within this run.
+        phase: Phase of the sender.
+        callers: ``ip:port`` at which it accepts callers.
+        failure_domain: Failure domain of the sender.
+        interval: Seconds until its next datagram.
+        peers: IP addresses of its known peers; empty if this datagram doesn't list them.
+        works: Its own work in flight; empty if the receiver gets it from a delegate.
         news: What it knows of the published state.
-        refusing: Endpoints that have just refused requests of its own.
-        rates: Replicas that name a rate limit, and its own requests to them.
+        refusing: Endpoints that recently refused its requests.
+        rates: Replicas that report a rate limit, and its own requests to them.
     """
 
     ip: str
@@ -84,7 +85,7 @@
 
 
 class MemberRow(msgspec.Struct, array_like=True):
-    """An entry as another one knows it; the fields are those of ``Hello``."""
+    """An entry as another one knows it; the fields have the meaning they have in ``Hello``."""
 
     ip: str
     incarnation: str
@@ -95,13 +96,13 @@
 
 
 class Digest(msgspec.Struct, array_like=True, kw_only=True):
-    """What a delegate tells for other entries.
+    """State of other entries that a delegate reports.
 
     Attributes:
-        members: The entries it tells for, None where this datagram does not name them.
-        works: Their work in flight together.
-        refusing: Endpoints that have just refused requests of theirs.
-        rates: Replicas that name a rate limit, and their requests to them.
+        members: The reported entries, or None if this datagram doesn't list them.
+        works: Sum of their work in flight.
+        refusing: Endpoints that recently refused their requests.
+        rates: Replicas that report a rate limit, and their requests to them.
     """
 
     members: list[MemberRow] | None
@@ -117,11 +118,11 @@
     """One datagram.
 
     Attributes:
-        answers_run: The run of its receiver which the sender heard last.
-        answers: Number of the datagram that the sender heard last of it, 0 for none.
-        hello: What the sender says of itself.
-        digest: What it tells for others, ``NO_DIGEST`` where it is no delegate.
-        ends: Requests under which endpoints ended, as far as its receiver lacks them.
+        answers_run: Incarnation of the receiver from which the sender last received a datagram.
+        answers: Number of that datagram, 0 if there is none.
+        hello: Encoded ``Hello`` of the sender.
+        digest: Encoded ``Digest``, or ``NO_DIGEST``.
+        ends: Requests during which endpoints crashed and which the receiver doesn't have yet.
     """
 
     answers_run: str
@@ -133,15 +134,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedDatagram:
-    """A datagram that could be read.
+    """A decoded datagram.
 
     Attributes:
-        answers_run: The run of its receiver that the sender heard last.
-        answers: Number of the datagram of that run that it heard last.
-        hello: The hello.
-        phase: What the sender says of itself.
-        digest: What it tells for others.
-        ends: Requests under which endpoints ended.
+        answers_run: Incarnation of the receiver from which the sender last received a datagram.
+        answers: Number of that datagram.
+        hello: State that the sender announces.
+        phase: Phase of the sender.
+        digest: State of other entries, None if the sender isn't a delegate.
+        ends: Requests during which endpoints crashed.
     """
 
     answers_run: str
@@ -154,20 +155,20 @@
 
 @dataclass(slots=True)
 class PeerEntry:
-    """Another entry as it was last heard, or heard of.
+    """Last known state of another entry, from its own datagrams or a delegate's report.
 
     Attributes:
-        ip: Its IP number.
-        incarnation: Names its run.
-        number: Number of its last datagram, 0 while only others told of it.
-        phase: What it said of itself.
-        callers: ``ip:port`` at which it takes callers.
-        failure_domain: Where it stands.
-        silent_at: When it counts as gone.
-        revision: Everything published up to it is known there, 0 where only others told of it.
-        reads: Whether the published state answers it.
-        heard_at: When it was heard itself.
-        told_until: Until when a delegate vouches for it.
+        ip: Its IP address.
+        incarnation: Random ID of its run.
+        number: Number of its last datagram, 0 if it is only known from reports.
+        phase: Its phase.
+        callers: ``ip:port`` at which it accepts callers.
+        failure_domain: Its failure domain.
+        expires_at: Time at which it is removed without another datagram or report.
+        revision: Published revision that it knows, 0 if it is only known from reports.
+        reads: Whether it can read the published state.
+        heard_at: Time at which its last datagram was received.
+        reported_until: Time until which a delegate's report of it is valid.
     """
 
     ip: str
@@ -183,7 +184,7 @@
     reported_until: float = float("-inf")
 
     def row(self) -> MemberRow:
-        """Return what others are told of it."""
+        """Return the row that a delegate sends about this entry."""
         return MemberRow(
             self.ip, self.incarnation, self.phase, self.callers, self.failure_domain, self.reads
         )
--- a/carawayhub/gateway/model.py
+++ b/carawayhub/gateway/model.py
@@ -1,6 +1,6 @@
-"""What a gateway knows of routes, services, organisations and endpoints.
+"""Data model of routes, services, organisations and endpoints in a gateway.
 
-All of it is decoded from the platform's spelling in `carawayhub.platform` and never changed after.
+`carawayhub.platform` decodes it from the platform's wire format. It is never changed afterwards.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,11 +12,12 @@
 MIN_STREAM_TIMEOUT_SECONDS = 2.0
 STREAM_TIMEOUT_TARGETS = 4.0
 STREAM_TIMEOUT_GAPS = 8.0
-"""Silence after which callers abandon a stream: seconds, targets and gaps, the longest of them."""
+"""Callers abandon a stream after the longest of these: a minimum, a multiple of the route's target
+and a multiple of its gap between events."""
 
 
 class Repeat(Enum):
-    """What may be done again with a request of a route."""
+    """How requests of a route may be repeated."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -24,7 +25,7 @@
 
 
 class EndpointState(Enum):
-    """What an endpoint says of itself."""
+    """State that an endpoint registers."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -32,11 +33,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """The part of a route's requests that one service gets.
+    """Share of a route's requests that one service receives.
 
     Attributes:
         service: Name of the service.
-        weight: Its weight among the shares of the route.
+        weight: Weight relative to the other shares of the route.
     """
 
     service: str
@@ -45,21 +46,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """Requests of one host below one path prefix.
+    """Route for the requests to one host below one path prefix.
 
     Attributes:
-        name: Its name.
-        host: Host that it serves, in lower case.
-        prefix: Start of the path, with a slash at both ends.
-        repeat: What may be repeated.
-        timeout: Seconds that a request may be kept waiting.
-        target: Seconds to the answer (streams: to the first event) that callers want.
-        gap: Seconds between two events of a stream that callers still accept.
-        attempts: Most endpoints that one request may be sent to.
-        priority: Rank of its requests, 0 is the most urgent.
-        public: Whether no key is asked for.
-        resumable: Whether a stream may go on at another endpoint after its last whole event.
-        shares: Services that get its requests.
+        name: Name of the route.
+        host: Host name in lower case.
+        prefix: Path prefix, with a slash at both ends.
+        repeat: How requests may be repeated.
+        timeout: Longest time in seconds that a request may wait.
+        target: Response time in seconds that callers expect, for streams until the first event.
+        gap: Longest time in seconds between two events of a stream that callers accept.
+        attempts: Maximum number of endpoints that one request may be sent to.
+        priority: Priority of its requests; 0 is the most urgent.
+        public: Whether requests need no key.
+        resumable: Whether a stream may be resumed at another endpoint after its last complete
+            event.
+        shares: Services that receive its requests.
     """
 
     name: str
@@ -77,16 +79,16 @@
 
     @property
     def stream_timeout(self) -> float:
-        """Seconds without an event after which callers abandon a stream, before its first as well.
+        """Seconds without an event, or before the first one, after which callers abandon a stream.
 
-        Ending one sooner would cut an answer that may still come.
+        Ending a stream sooner would cut off an answer that may still arrive.
         """
         longest = max(MIN_STREAM_TIMEOUT_SECONDS, STREAM_TIMEOUT_TARGETS * self.target)
         return max(longest, STREAM_TIMEOUT_GAPS * self.gap)
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         match self.repeat:
             case Repeat.IDEMPOTENT:
                 return True
@@ -98,19 +100,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineProfile:
-    """Published speed of the engines of a service.
+    """Published performance profile of the engines of a service.
 
     Attributes:
-        places: Requests that one engine runs at once.
-        kv_tokens: Tokens that its memory holds.
-        step: Seconds of a token step without requests.
-        step_per_request: Seconds that each writing request adds to a step.
-        read_rate: Prompt tokens read a second.
-        chunk: Most prompt tokens read in one step.
-        stride: Token steps in a pass that has writers.
-        usual_prompt: Mean number of prompt tokens.
-        usual_answer: Mean number of answer tokens.
-        experts: Shape of its expert maps, None where the engines have no experts.
+        places: Slots of one engine, which is the number of requests that it runs concurrently.
+        kv_tokens: Capacity of its KV cache in tokens.
+        step: Seconds that a decoding step takes without requests.
+        step_per_request: Seconds that each decoding request adds to a step.
+        prefill_rate: Prompt tokens processed per second.
+        chunk: Maximum number of prompt tokens processed in one step.
+        stride: Decoding steps in a pass that includes decoding requests.
+        mean_prompt_tokens: Mean number of prompt tokens.
+        mean_answer_tokens: Mean number of answer tokens.
+        experts: Shape of its expert maps, None if the engines have no experts.
     """
 
     places: int
@@ -130,13 +132,13 @@
     """Shape of the expert maps of a lock-step group.
 
     Attributes:
-        layers: Sets of layers that share one placement.
-        experts: Experts of each set.
-        places: Experts that one rank holds of a set at the most.
-        spare: New experts of a set that one change may bring to a rank.
-        share: Part of the work for a token that experts do.
-        expert_bytes: Size of one expert.
-        link_rate: Bytes a second over the link by which a rank copies.
+        layers: Number of layer sets; the layers of a set share one placement.
+        experts: Experts in each set.
+        places: Maximum number of experts of a set that one rank holds.
+        spare: Maximum number of new experts of a set that one change may copy to a rank.
+        share: Fraction of the work for a token that is done by experts.
+        expert_bytes: Size of one expert in bytes.
+        link_rate: Bytes per second of the link over which a rank copies experts.
     """
 
     layers: int
@@ -150,13 +152,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Service:
-    """Endpoints that answer alike.
+    """Service with interchangeable endpoints.
 
     Attributes:
-        name: Its name.
-        health_path: Path of its health check.
-        connections: Connections that one endpoint takes from all callers together.
-        engine: Speed of its engines, None for a plain service.
+        name: Name of the service.
+        health_path: Path of the health check.
+        connections: Maximum number of connections to one endpoint from all entries together.
+        engine: Performance profile of its engines, None for a plain service.
     """
 
     name: str
@@ -167,11 +169,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Organisation:
-    """A holder of keys.
+    """Organisation that owns API keys.
 
     Attributes:
-        name: Its name.
-        priority: Rank that goes before the route's, None where it has none.
+        name: Name of the organisation.
+        priority: Priority that overrides the route's, or None.
     """
 
     name: str
@@ -180,13 +182,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take.
+    """Size limits and timeouts for callers.
 
     Attributes:
-        head_bytes: Size of a request's head.
-        body_bytes: Size of its body.
-        head_timeout: Seconds for a whole head.
-        idle_timeout: Seconds that a connection may lie idle.
+        head_bytes: Maximum size of a request head.
+        body_bytes: Maximum size of a request body.
+        head_timeout: Seconds within which a complete head must be received.
+        idle_timeout: Seconds that a connection may be idle.
     """
 
     head_bytes: int = 16_384
@@ -200,11 +202,11 @@
     """One version of the configuration.
 
     Attributes:
-        version: Its number; later ones are greater.
+        version: Version number; later ones are greater.
         services: Services by name.
-        limits: What callers may send.
+        limits: Limits for callers.
         organisations: Organisations by key.
-        keyed: Whether requests of routes that are not public need a key.
+        keys_required: Whether requests to routes that aren't public need a key.
     """
 
     version: int
@@ -215,7 +217,7 @@
     _by_host: dict[str, dict[str, Route]] = field(default_factory=dict)
 
     def add(self, route: Route) -> None:
-        """Add a route; of two with one host and prefix the later one holds."""
+        """Add a route, replacing one with the same host and prefix."""
         self._by_host.setdefault(route.host, {})[route.prefix] = route
 
     def routes(self) -> tuple[Route, ...]:
@@ -223,7 +225,7 @@
         return tuple(route for paths in self._by_host.values() for route in paths.values())
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of that host whose prefix is the longest that starts ``path``."""
+        """Return the route of the host with the longest prefix that matches ``path``."""
         prefixes = self._by_host.get(host.lower()) or self._by_host.get(_without_port(host.lower()))
         if prefixes is None:
             return None
@@ -237,12 +239,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Incarnation:
-    """One lifetime of a replica, which may start again under the id that it had.
+    """One run of a replica, which may restart under the same ID.
 
     Attributes:
-        replica: Id of the replica, by which endpoints and the platform know it.
-        born: When it started, in milliseconds of its own clock, 0 where it does not say. That clock
-            may jump, so two of them are compared and nothing is ever counted from one.
+        replica: ID of the replica at endpoints and in the platform.
+        born: Start time in milliseconds of its own clock, 0 if not reported. That clock may jump,
+            so start times are only compared with each other, never used to compute an age.
     """
 
     replica: str
@@ -250,24 +252,24 @@
 
     @property
     def id(self) -> str:
-        """Name of this lifetime: what is remembered of it ends with it."""
+        """ID of this run; state recorded under it isn't used for a later run."""
         return f"{self.replica}@{self.born}" if self.born else self.replica
 
     def is_before(self, other: "Incarnation") -> bool:
-        """Return whether the same replica started again after this lifetime."""
+        """Return whether ``other`` is a later run of the same replica."""
         return self.replica == other.replica and self.born < other.born
 
 
 @dataclass(frozen=True, slots=True)
 class GroupMembership:
-    """The place of a replica in a lock-step group.
+    """Membership of a replica in a lock-step group.
 
     Attributes:
         group: Name of the group.
-        epoch: Formation of the group.
-        rank: Its position.
-        formed: Whether the group takes work.
-        size: Ranks of the group, 0 where it does not say.
+        epoch: Number of the group's formation.
+        rank: Rank of the replica.
+        formed: Whether the group is complete and accepts requests.
+        size: Number of ranks in the group, 0 if not reported.
     """
 
     group: str
@@ -279,18 +281,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Endpoint:
-    """One incarnation of a replica, as it registered itself.
+    """Registration of one run of a replica.
 
     Attributes:
-        id: Names this incarnation; a restart has another.
-        incarnation: The same with its parts.
+        id: ID of this run; it changes with a restart.
+        incarnation: Replica ID and start time that make up ``id``.
         service: Name of its service.
-        address: Where it listens.
-        failure_domain: Where it stands.
-        places: Requests that it runs at once.
-        state: What it says of itself.
-        seat: Its place in a lock-step group, None where it belongs to none.
-        registered: Revision at which its entry was made; later ones are greater.
+        address: Address on which it listens.
+        failure_domain: Its failure domain.
+        places: Number of slots, which is the number of requests that it runs concurrently.
+        state: Registered state.
+        membership: Membership in a lock-step group, None if it belongs to none.
+        registered: Revision at which it registered; later ones are greater.
     """
 
     id: str
@@ -305,12 +307,12 @@
 
 
 def superseded(endpoints: Iterable[Endpoint]) -> frozenset[str]:
-    """Return the endpoints at whose address a later one has registered itself.
+    """Return the endpoints at whose address a later one has registered.
 
-    Guards against replicas that crashed: their entries stay for three heartbeats, while their
-    successors are up and have registered themselves. What is sent for the one before is refused by
-    its successor. After a loss of power half of all entries were such, and a request that met two
-    of them had used up its attempts.
+    The registration of a crashed replica stays for three heartbeats, while its successor is already
+    running at the same address and refuses requests sent to the old ID. After a power failure half
+    of all registrations may be outdated, and a request routed to two of them has used up its
+    attempts.
     """
     newest: dict[Address, int] = {}
     listed = tuple(endpoints)
--- a/carawayhub/gateway/peers.py
+++ b/carawayhub/gateway/peers.py
@@ -13,8 +13,8 @@
 add calls to the store."""
 
 REPORTED_PEER_TTL_SECONDS = 3.0
-"""Time after which an entry that only a delegate has reported is removed if it isn't reported again;
-this covers a few member lists."""
+"""Time after which an entry that only a delegate has reported is removed if it isn't reported
+again. It covers a few member lists."""
 
 
 MISSING_TTL_SECONDS = 20.0
@@ -176,10 +176,10 @@
         # would accumulate until they outnumber the reachable ones, and never expire.
         self._forget_missing(now)
         for ip in ips:
-            peer = self._by_ip.pop(ip)
-            if peer.phase is not Phase.LEAVING:
+            gone = self._by_ip.pop(ip)
+            if gone.phase is not Phase.LEAVING:
                 self._missing[ip] = now
-            logger.bind(peer=ip, phase=peer.phase.name, reason=reason).warning("peer removed")
+            logger.bind(peer=ip, phase=gone.phase.name, reason=reason).warning("peer removed")
 
     def silent(self, now: float) -> list[str]:
         """Return the peers whose timeout has passed."""
--- a/carawayhub/gateway/ports.py
+++ b/carawayhub/gateway/ports.py
@@ -1,4 +1,4 @@
-"""What the gateway asks of the outside: the published state of the fleet."""
+"""Interfaces through which the gateway reads the published state of the fleet."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -12,7 +12,7 @@
     """A configuration was published.
 
     Attributes:
-        table: Its routes, services and keys.
+        table: Routes, services and keys of the configuration.
     """
 
     table: RouteTable
@@ -20,17 +20,17 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointPublished:
-    """An endpoint registered itself or changed its state."""
+    """An endpoint registered or changed its state."""
 
     endpoint: Endpoint
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointRemoved:
-    """The entry of an endpoint was removed.
+    """The registration of an endpoint was removed.
 
     Attributes:
-        replica: Id of the replica.
+        replica: ID of the replica.
     """
 
     replica: str
@@ -38,11 +38,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUnreadable:
-    """The entry of an endpoint cannot be read, so it names none that may be used.
+    """The registration of an endpoint is malformed, so the endpoint can't be used.
 
     Attributes:
-        replica: Id under which it stands.
-        problem: What is wrong with it.
+        replica: ID under which it was registered.
+        problem: Description of the error.
         revision: Revision at which it was written.
     """
 
@@ -56,12 +56,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Published:
-    """An answer of the published state.
+    """Content read from the published state.
 
     Attributes:
-        revision: Everything up to this revision is known with this answer.
-        changes: What changed, oldest first; for a snapshot, all that there is.
-        unreadable: Configurations that could not be decoded; the last readable one holds.
+        revision: Revision up to which the content is complete.
+        changes: Changes, oldest first; for a snapshot, the complete content.
+        unreadable: Configurations that couldn't be decoded; the last valid one stays active.
     """
 
     revision: int
@@ -70,7 +70,7 @@
 
 
 class Source(Enum):
-    """Where content came from."""
+    """Source of published content."""
 
     LISTING = "listing"
     WATCH = "watch"
@@ -80,11 +80,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardedContent:
-    """Published content that a peer handed on.
+    """Published content that a peer forwarded.
 
     Attributes:
         published: The content.
-        whole: Whether it is all that is published, as a snapshot is.
+        whole: Whether it is a snapshot of everything that is published.
     """
 
     published: Published
@@ -92,19 +92,19 @@
 
 
 class Mirror(Protocol):
-    """What was read of the published state, as it is handed on among entries.
+    """Local copy of the published state, in the form in which entries forward it.
 
     Attributes:
-        revision: Everything up to it is known.
+        revision: Revision up to which the copy is complete.
     """
 
     revision: int
 
     def encode_after(self, revision: int) -> bytes | None:
-        """Return what is known beyond a revision, None where nothing is or it is too much."""
+        """Return the encoded content after a revision, None if there is none or it is too large."""
 
     def take(self, data: bytes) -> ForwardedContent | None:
-        """Take in what a peer told; return it, None where nothing of it is new.
+        """Apply content from a peer and return it, or None if none of it is new.
 
         Raises:
             PlatformError: PLATFORM_MALFORMED.
@@ -112,42 +112,42 @@
 
 
 class PublishedState(Protocol):
-    """The read side of what operators and endpoints publish."""
+    """Read access to the state that operators and endpoints publish."""
 
     @property
     def mirror(self) -> Mirror:
-        """What was read so far."""
+        """Local copy of what has been read so far."""
 
     async def snapshot(self) -> Published:
-        """Return all that is published.
+        """Return everything that is published.
 
         Raises:
             PlatformError: PLATFORM_UNREACHABLE.
         """
 
     async def changes(self, after: int, wait: float) -> Published | None:
-        """Return what changed after a revision, at once or when something has.
+        """Return the changes after a revision, waiting for one if there are none yet.
 
         Args:
-            after: Revision that the caller knows.
-            wait: Seconds to wait for a change.
+            after: Last known revision.
+            wait: Maximum time in seconds to wait for a change.
 
         Returns:
-            The changes, None where the history no longer reaches back to that revision.
+            The changes, or None if the history no longer reaches back to that revision.
 
         Raises:
             PlatformError: PLATFORM_UNREACHABLE.
         """
 
     async def revision(self) -> int:
-        """Return the newest revision, confirmed to be the newest at some time during the call.
+        """Return the newest revision, which was current at some time during the call.
 
         Raises:
             PlatformError: PLATFORM_UNREACHABLE.
         """
 
     async def check_reachable(self) -> None:
-        """See whether the state can be read at all, at a fraction of a read's price.
+        """Check whether the state can be read, at a fraction of the cost of a read.
 
         Raises:
             PlatformError: PLATFORM_UNREACHABLE.
--- a/carawayhub/gateway/tally.py
+++ b/carawayhub/gateway/tally.py
@@ -1,4 +1,4 @@
-"""Counters and latencies of a gateway, as text for metric collectors."""
+"""Counters and latencies of a gateway in the Prometheus text format."""
 
 import math
 from collections import Counter
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaLimits:
-    """Limits that replicas name, and what they cost.
+    """Rate limits reported by replicas, and their effect.
 
     Attributes:
-        limits: Requests a second by the key of the replica.
-        held_back: Times that a request did not go to a replica because of its limit.
+        limits: Requests per second, by key of the replica.
+        held_back: Number of times that a request wasn't sent to a replica because of its limit.
     """
 
     limits: Mapping[int, float] = field(default_factory=dict)
@@ -24,13 +24,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewStatus:
-    """What an entry knows of the published state at one moment.
+    """Status of an entry's view of the published state.
 
     Attributes:
-        version: Version of the configuration in force, 0 while none is.
-        revision: Everything published up to it is known.
-        age: Seconds since that was proved to be the newest.
-        reads: Whether this entry reads for its peers.
+        version: Version of the active configuration, 0 if there is none.
+        revision: Published revision up to which everything is known.
+        age: Seconds since this revision was last proved to be the newest.
+        reads: Whether this entry reads the store for its peers.
     """
 
     version: int = 0
@@ -40,12 +40,12 @@
 
 
 class Tally:
-    """What one entry measured since it started.
+    """Metrics of one entry since it started.
 
     Args:
-        unreadable_entries: Gives the entries of endpoints so far that could not be read.
-        limits_met: Gives the limits of replicas.
-        view_seen: Gives what is known of the published state.
+        unreadable_entries: Returns the number of malformed endpoint registrations so far.
+        replica_limits: Returns the rate limits of replicas.
+        view_status: Returns the status of the view of the published state.
     """
 
     __slots__ = (
@@ -73,7 +73,7 @@
         self._ended_under_requests: Counter[str] = Counter()
 
     def ended(self, route: str, organisation: str, code: Code, status: int, seconds: float) -> None:
-        """Count the end of a request."""
+        """Record a completed request."""
         self._ends[(route, organisation, code, status)] += 1
         recorder = self._times.get(route)
         if recorder is None:
@@ -81,19 +81,21 @@
         recorder.record(seconds)
 
     def table_applied(self, late_at_most: float) -> None:
-        """Record for how many seconds a configuration may have been published before.
+        """Record the maximum delay between publication and activation of a configuration.
 
-        The first one of a process has nothing to be counted from.
+        Args:
+            late_at_most: Upper bound in seconds; infinite for the first configuration of a
+                process, which isn't recorded.
         """
         if not math.isinf(late_at_most):
             self._table_delays.record(late_at_most)
 
     def endpoint_ended(self, service: str) -> None:
-        """Count a request whose endpoint ended while it worked on it."""
+        """Count a request during which its endpoint crashed or stopped."""
         self._ended_under_requests[service] += 1
 
     def page(self) -> str:
-        """Return all counters and latencies."""
+        """Return all metrics as text."""
         lines = ["# TYPE carawayhub_gateway_requests_total counter"]
         for (route, organisation, code, status), count in sorted(self._ends.items()):
             labels = (
--- a/carawayhub/gateway/telling.py
+++ b/carawayhub/gateway/telling.py
@@ -32,12 +32,12 @@
 from carawayhub.limits.replicarate import ReplicaRates
 
 GOSSIP_INTERVAL_SECONDS = 0.1
-"""Interval between two datagrams to one receiver. It is a tenth of a typical request duration of one
-second, so a slot released at a peer becomes known soon enough."""
+"""Interval between two datagrams to one receiver. It is a tenth of a typical request duration of
+one second, so a slot released at a peer becomes known soon enough."""
 
 MAX_DATAGRAMS_PER_SECOND = 300.0
-"""Limit for one entry, which keeps the cost at one or two hundredths of a core. A delegate of a large
-failure domain sends to each entry less often."""
+"""Limit for one entry, which keeps the cost at one or two hundredths of a core. A delegate of a
+large failure domain sends to each entry less often."""
 
 PROPAGATION_HOPS = 3
 """Gossip intervals until an update has passed through both delegates to all entries."""
@@ -50,8 +50,8 @@
 """The member list is sent once in this many rounds, as it rarely changes."""
 
 INTRODUCTION_INTERVAL_SECONDS = 0.5
-"""Interval announced in an introduction. The receiver keeps the sender for a multiple of it, until a
-delegate has reported the sender."""
+"""Interval announced in an introduction. The receiver keeps the sender for a multiple of it, until
+a delegate has reported the sender."""
 
 MAX_SENT_TIMES = 256
 """Send times kept for matching acknowledgements by peers; this covers several seconds."""
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -1,4 +1,4 @@
-"""Small pieces that tests of the gateway are built from."""
+"""Factories for tests of the gateway."""
 
 import random
 
@@ -96,7 +96,7 @@
 
 def table(version: int = 1, *routes: Route) -> RouteTable:
     """Return a configuration with two services and one organisation."""
-    found = RouteTable(
+    config = RouteTable(
         version=version,
         services={
             "llm": Service(name="llm", health_path="/health", connections=100, engine=engine()),
@@ -107,12 +107,12 @@
         keys_required=True,
     )
     for each in routes or (route(),):
-        found.add(each)
-    return found
+        config.add(each)
+    return config
 
 
 def entry_options(ip: str, ips: list[str], bounds: Bounds = BOUNDS) -> GatewayOptions:
-    """Return what the entry at ``ip`` is given; the first three of all may live."""
+    """Return the options of the entry at ``ip``, with the first three entries as seeds."""
     return GatewayOptions(
         callers=Address(ip, 80),
         seeds=frozenset(ips[:3]),
@@ -136,5 +136,5 @@
 
 
 def rates(clock: Clock) -> ReplicaRates:
-    """Return limits of replicas of which none is known yet."""
+    """Return rate limits of replicas, of which none is known yet."""
     return ReplicaRates(clock, random.Random(5), work_key)
--- a/tests/test_gateway_gossip.py
+++ b/tests/test_gateway_gossip.py
@@ -1,4 +1,4 @@
-"""What entries tell each other, and what may be concluded from it."""
+"""Tests of the gossip between entries and of the selection of readers."""
 
 import random
 import socket
@@ -26,7 +26,7 @@
 class Exchange(unittest.TestCase):
     """Three entries on loopback addresses."""
 
-    def run_entries(self, story) -> None:
+    def run_entries(self, scenario) -> None:
         port = free_port()
         ips = ["127.0.0.1", "127.0.0.2", "127.0.0.3"]
 
@@ -40,7 +40,7 @@
                     tasks.start_soon(self.serve, each, scope)
                 with anyio.fail_after(20.0):
                     await self.until(lambda: all(each.peak_entries == 3 for each in self.entries))
-                    await story()
+                    await scenario()
                 tasks.cancel_scope.cancel()
 
         anyio.run(main)
@@ -61,12 +61,12 @@
         with scope:
             await entry.run()
 
-    async def until(self, holds) -> None:
-        while not holds():
+    async def until(self, condition) -> None:
+        while not condition():
             await anyio.sleep(0.02)
 
     def test_all_meet_through_one_seed_and_hear_of_loads_and_phases(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             first, second, third = self.entries
             first._loads.begin("i-1", Work(2, 0, 500))
             second.set_phase(Phase.READY)
@@ -78,54 +78,55 @@
             await self.until(lambda: third.is_reader())
             self.assertFalse(second.is_reader())
 
-        self.run_entries(story)
+        self.run_entries(scenario)
 
     def test_entry_that_still_meets_others_does_not_say_how_many_there_are(self) -> None:
-        """All VMs lose power, and each entry has met five of forty when callers come back.
+        """An entry must not report the number of entries while it still discovers others.
 
-        Each took a fifth of the retry budget that all share, and endpoints that had just come back
-        got more repeated requests than the operators allow.
+        After a power failure, each entry that has discovered five of forty entries when callers
+        reconnect would claim a fifth of the shared retry budget, and restarted endpoints would
+        receive more retries than operators allow.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             self.assertIn(0, [each.settled_entries() for each in self.entries])
             await self.until(lambda: all(each.settled_entries() == 3 for each in self.entries))
 
-        self.run_entries(story)
+        self.run_entries(scenario)
 
     def test_endpoints_that_refuse_one_entry_are_known_to_all(self) -> None:
-        """Each of 40 entries had to be refused by each rank of a broken group for itself."""
+        """Without sharing, each of 40 entries must be refused by each rank of a broken group."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             first, second, third = self.entries
             heard: list[str] = []
             third.on_refusing = heard.extend
             first.own.refusing = lambda: ["i-7"]
             await self.until(lambda: "i-7" in heard)
 
-        self.run_entries(story)
+        self.run_entries(scenario)
 
     def test_silent_entry_is_dropped_with_its_loads(self) -> None:
-        """An entry loses power. Its requests are gone; counting them would keep places empty."""
+        """The requests of a crashed entry have ended; counting them would leave slots unused."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             self.entries[0]._loads.begin("i-1", Work(2, 0, 500))
             third = self.entries[2]
             await self.until(lambda: third._loads.total("i-1").requests == 2)
             self.scopes[0].cancel()
             await self.until(lambda: third._loads.total("i-1").requests == 0)
 
-        self.run_entries(story)
+        self.run_entries(scenario)
 
     def test_news_are_dated_by_the_datagram_they_answer(self) -> None:
-        """A proof that is handed on must not seem younger than it is.
+        """A forwarded proof must not appear to be newer than it is.
 
-        It may have waited in the receiver's buffer while that VM was suspended. So it counts from
-        when the receiver sent what the peer answers to.
+        It may have waited in the receive buffer while that VM was suspended. Its age is therefore
+        counted from when the receiver sent the datagram that the peer acknowledges.
         """
         heard: list[tuple[News, float, float]] = []
 
-        async def story() -> None:
+        async def scenario() -> None:
             clock = SystemClock()
             first, second, _ = self.entries
             first.own.news = lambda: News(7, 0.5, 0.0)
@@ -135,10 +136,10 @@
                 if news.revision == 7:
                     self.assertLessEqual(proved_at, now - 0.5)
 
-        self.run_entries(story)
+        self.run_entries(scenario)
 
     def test_unreadable_datagrams_change_nothing(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             first = self.entries[0]
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
                 for data in (b"", b"\xff", msgspec.msgpack.encode([1, 2]), b"x" * 5000):
@@ -146,11 +147,11 @@
             await anyio.sleep(0.3)
             self.assertEqual(first.peak_entries, 3)
 
-        self.run_entries(story)
+        self.run_entries(scenario)
 
 
 class Readers(unittest.TestCase):
-    """Which entries read the published state for all."""
+    """Selection of the entries that read the published state for all."""
 
     def test_they_stand_in_different_failure_domains(self) -> None:
         entries = [("b", "10.2.0.1"), ("a", "10.1.0.1"), ("a", "10.1.0.2"), ("c", "10.3.0.1")]
@@ -160,7 +161,7 @@
 
 
 class Order(unittest.TestCase):
-    """Datagrams that overtake each other."""
+    """Datagrams that arrive out of order."""
 
     def test_older_news_do_not_replace_newer(self) -> None:
         own = OwnAddress(ip="10.0.0.1", port=1, callers="10.0.0.1:80", failure_domain="brest")
