--- a/carawayhub/gateway/gossip.py
+++ b/carawayhub/gateway/gossip.py
@@ -134,8 +134,8 @@
         self._urgent = False
         self._wake = anyio.Event()
         self._new_peers: set[str] = set()
-        self.on_loads = _nothing
-        self.on_news = _ignore
+        self.on_loads = _ignore_loads
+        self.on_news = _ignore_news
         self.on_refusing: Callable[[list[str]], None] = _ignore_refusing
 
     @property
@@ -263,7 +263,7 @@
         if self._peers.record_hello(hello, phase, self._clock.monotonic(), timeout):
             self._new_peers.add(hello.ip)
             self._wake.set()
-        self._add_unknown(hello.peers)
+        self._add_unknown_seeds(hello.peers)
         self._update_part()
 
     def _apply_works(self, received: ReceivedDatagram) -> None:
@@ -272,12 +272,12 @@
         In each role of this entry, exactly one reporter accounts for each request.
         """
         hello, digest = received.hello, received.digest
-        near = hello.failure_domain == self.own.address.failure_domain
+        same_domain = hello.failure_domain == self.own.address.failure_domain
         match self._builder.part:
             case Part.EQUAL:
                 self._apply_reported(hello.ip, hello.works, hello.refusing)
                 self._apply_rates(hello.ip, hello.rates, received)
-            case Part.DELEGATE if near:
+            case Part.DELEGATE if same_domain:
                 self._apply_reported(hello.ip, hello.works, hello.refusing)
                 self._apply_rates(hello.ip, hello.rates, received)
             case Part.DELEGATE if digest is not None:
@@ -332,7 +332,7 @@
         if sent_at is not None:
             self.on_news(received.hello.news, sent_at - received.hello.news.age)
 
-    def _add_unknown(self, ips: list[str]) -> None:
+    def _add_unknown_seeds(self, ips: list[str]) -> None:
         """Add the entries that a peer knows and this one does not to the seeds."""
         unknown = frozenset(ips) - frozenset(self._peers.ips()) - {self.own.address.ip}
         self._seeds |= unknown
@@ -426,11 +426,11 @@
     return digest
 
 
-def _nothing() -> None:
+def _ignore_loads() -> None:
     return
 
 
-def _ignore(news: News, proved_at: float) -> None:
+def _ignore_news(news: News, proved_at: float) -> None:
     return
 
 
--- a/carawayhub/gateway/handing.py
+++ b/carawayhub/gateway/handing.py
@@ -51,9 +51,9 @@
             answer = await self._link.ask(ip, PUBLISHED, msgspec.msgpack.encode(revision))
             if answer is None or not answer.ok:
                 continue
-            handed = self._decode_content(answer.content, ip)
-            if handed is not None:
-                return handed
+            forwarded = self._decode_content(answer.content, ip)
+            if forwarded is not None:
+                return forwarded
         return None
 
     def _decode_content(self, content: bytes, ip: str) -> ForwardedContent | None:
--- a/carawayhub/gateway/telling.py
+++ b/carawayhub/gateway/telling.py
@@ -229,7 +229,7 @@
             urgent: Whether there is an update that all entries need immediately.
         """
         self._rounds += 1
-        hello = self._hello(self._rows(self._loads.own()), names_peers=self._is_member_list_due())
+        hello = self._hello(self._rows(self._loads.own()), lists_peers=self._is_member_list_due())
         match self.part:
             case Part.EQUAL:
                 return {ip: self._datagram(ip, hello) for ip in self._peers.ips()}
@@ -243,7 +243,7 @@
 
     def introductions(self, ips: Iterable[str]) -> dict[str, bytes]:
         """Return datagrams for newly discovered entries and for seeds that may be running."""
-        hello = self._hello([], names_peers=True, interval=INTRODUCTION_INTERVAL_SECONDS)
+        hello = self._hello([], lists_peers=True, interval=INTRODUCTION_INTERVAL_SECONDS)
         return {ip: self._datagram(ip, hello) for ip in sorted(ips)}
 
     def _to_own_domain(self, urgent: bool) -> dict[str, bytes]:
@@ -281,13 +281,13 @@
 
         The digest for a member leaves out that member's own work, which it knows more exactly.
         """
-        names = self._members_if_due(VIA_DELEGATE, [each.row() for each in self._peers.all()])
+        member_rows = self._members_if_due(VIA_DELEGATE, [each.row() for each in self._peers.all()])
         refusing = self._refusing(self._own.told_refusing)
         datagrams = {}
         for each in self._peers.in_own_domain():
             works = self._rows(self._loads.without(each.ip))
             rates = self._rates.rows_without(each.ip)
-            digest = _raw(Digest(members=names, works=works, refusing=refusing, rates=rates))
+            digest = _raw(Digest(members=member_rows, works=works, refusing=refusing, rates=rates))
             datagrams[each.ip] = self._datagram(each.ip, hello, digest)
         return datagrams
 
@@ -331,7 +331,7 @@
         return rows[:MAX_WORK_ROWS]
 
     def _hello(
-        self, works: list[WorkRow], *, names_peers: bool = False, interval: float = 0.0
+        self, works: list[WorkRow], *, lists_peers: bool = False, interval: float = 0.0
     ) -> _NumberedHello:
         self._number += 1
         self._sent[self._number] = self._clock.monotonic()
@@ -345,7 +345,7 @@
             callers=own.address.callers,
             failure_domain=own.address.failure_domain,
             interval=interval or self.interval,
-            peers=self._peers.ips() if names_peers else [],
+            peers=self._peers.ips() if lists_peers else [],
             news=own.news(),
             refusing=own.refusing()[:MAX_REFUSING],
             works=works,
--- a/tests/test_gateway_gossip.py
+++ b/tests/test_gateway_gossip.py
@@ -99,10 +99,10 @@
 
         async def scenario() -> None:
             first, second, third = self.entries
-            heard: list[str] = []
-            third.on_refusing = heard.extend
+            received: list[str] = []
+            third.on_refusing = received.extend
             first.own.refusing = lambda: ["i-7"]
-            await self.until(lambda: "i-7" in heard)
+            await self.until(lambda: "i-7" in received)
 
         self.run_entries(scenario)
 
@@ -124,15 +124,15 @@
         It may have waited in the receive buffer while that VM was suspended. Its age is therefore
         counted from when the receiver sent the datagram that the peer acknowledges.
         """
-        heard: list[tuple[News, float, float]] = []
+        received: list[tuple[News, float, float]] = []
 
         async def scenario() -> None:
             clock = SystemClock()
             first, second, _ = self.entries
             first.own.news = lambda: News(7, 0.5, 0.0)
-            second.on_news = lambda news, at: heard.append((news, at, clock.monotonic()))
-            await self.until(lambda: any(news.revision == 7 for news, _, _ in heard))
-            for news, proved_at, now in heard:
+            second.on_news = lambda news, at: received.append((news, at, clock.monotonic()))
+            await self.until(lambda: any(news.revision == 7 for news, _, _ in received))
+            for news, proved_at, now in received:
                 if news.revision == 7:
                     self.assertLessEqual(proved_at, now - 0.5)
 
--- a/tests/test_gateway_large.py
+++ b/tests/test_gateway_large.py
@@ -48,10 +48,10 @@
     def start(self, ip: str) -> None:
         """Start an entry that knows only the seeds."""
         domain = ip.split(".")[1]
-        place = OwnAddress(ip=ip, port=1, callers=f"{ip}:80", failure_domain=domain)
+        address = OwnAddress(ip=ip, port=1, callers=f"{ip}:80", failure_domain=domain)
         rng = random.Random(self.rng.random())
         entry = self.entries[ip] = Gossip(
-            place,
+            address,
             self.seeds,
             Loads(),
             PoisonRecords(LoopClock()),
@@ -230,7 +230,7 @@
                 def news(ip: str = ip) -> News:
                     return News(7, anyio.current_time() - newest[ip], 0.0)
 
-                def take(received: News, at: float, ip: str = ip) -> None:
+                def take(update: News, at: float, ip: str = ip) -> None:
                     newest[ip] = max(newest[ip], at)
                     proved[ip] = newest[ip]
                     self.assertLessEqual(at, began_at)
