--- a/carawayhub/gateway/hello.py
+++ b/carawayhub/gateway/hello.py
@@ -58,7 +58,7 @@
     Attributes:
         ip: IP address of the sender.
         incarnation: Random ID of this run of the sender.
-        number: Sequence number within this run.
+        number: Sequence number, which increases with each round within this run.
         phase: Phase of the sender.
         callers: ``ip:port`` at which it accepts callers.
         failure_domain: Failure domain of the sender.
