--- a/carawayhub/gateway/follower.py
+++ b/carawayhub/gateway/follower.py
@@ -10,7 +10,7 @@
 from carawayhub.clock import Clock
 from carawayhub.errors import PlatformError
 from carawayhub.gateway.freshness import ReadTimes
-from carawayhub.gateway.ports import Handed, Published, PublishedState, Source
+from carawayhub.gateway.ports import ForwardedContent, Published, PublishedState, Source
 from carawayhub.gateway.view import FleetView
 
 WATCH_TIMEOUT_SECONDS = 25.0
@@ -88,7 +88,7 @@
     FOLLOWER = "follower"
 
 
-async def _no_changes(revision: int) -> Handed | None:
+async def _no_changes(revision: int) -> ForwardedContent | None:
     return None
 
 
@@ -156,7 +156,7 @@
         rng: random.Random,
         times: ReadTimes,
         reads: Callable[[], bool] = lambda: True,
-        fetch_changes: Callable[[int], Awaitable[Handed | None]] = _no_changes,
+        fetch_changes: Callable[[int], Awaitable[ForwardedContent | None]] = _no_changes,
         first: bool = True,
         propagation_seconds: Callable[[], float] = lambda: 0.0,
     ) -> None:
@@ -446,7 +446,7 @@
                 continue
             sent_at = self._clock.monotonic()
             try:
-                await self._state.touch()
+                await self._state.check_reachable()
             except PlatformError as exc:
                 delay = await self._back_off(exc, "touch", delay, sent_at)
                 continue
--- a/carawayhub/gateway/peers.py
+++ b/carawayhub/gateway/peers.py
@@ -1,4 +1,4 @@
-"""Which other entries are known, and who of them acts for others."""
+"""Known peers, and the selection of delegates and readers among them."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -7,79 +7,80 @@
 
 from carawayhub.gateway.hello import Hello, MemberRow, PeerEntry, Phase
 
-READERS = 2
-"""Entries that read the published state for all, in different failure domains. With one, its loss
-would leave all without proofs until another takes over; a third added calls alone."""
+READER_COUNT = 2
+"""Number of entries, in different failure domains, that read the published state for all. With only
+one, its loss would leave all entries without proofs until another takes over. A third would only
+add calls to the store."""
 
-MEMBER_SECONDS = 3.0
-"""Seconds after which an entry counts as gone that only a delegate told of and names no more: a
-few of the lists of members that it tells."""
+REPORTED_PEER_TTL_SECONDS = 3.0
+"""Time after which an entry that only a delegate has reported is removed if it isn't reported
+again. It covers a few member lists."""
 
 
-MISSED_SECONDS = 20.0
-"""Seconds for which an entry that is gone is held to send requests still, while most others are
-heard: it may only be cut off from this one."""
+MISSING_TTL_SECONDS = 20.0
+"""Time for which a removed entry is assumed to keep sending requests, while most others are
+reachable: it may only be partitioned from this one."""
 
-HEARD_SECONDS = 0.7
-"""Seconds since an entry was heard itself after which a delegate is believed that does not name it:
-a little more than those after which the delegate finds its silence."""
+DIRECT_CONTACT_SECONDS = 0.7
+"""Time since the last datagram of an entry after which its absence from a delegate's member list is
+believed. It is slightly longer than the timeout by which the delegate itself removes the entry."""
 
 
 class Peers:
-    """The other entries that are known.
+    """Registry of the other known entries.
 
     Args:
-        ip: IP number of this entry.
-        failure_domain: Where it stands.
+        ip: IP address of this entry.
+        failure_domain: Failure domain of this entry.
 
     Attributes:
-        most: Most entries known at one time, this one among them; 0 while none was heard.
-        grown_at: When that grew last.
+        peak: Largest number of entries known at once, including this one; 0 before the first peer.
+        grown_at: Time at which ``peak`` last increased.
     """
 
-    __slots__ = ("_by_ip", "_domain", "_ip", "_missed", "grown_at", "most")
+    __slots__ = ("_by_ip", "_domain", "_ip", "_missing", "grown_at", "peak")
 
     def __init__(self, ip: str, failure_domain: str) -> None:
         self._ip = ip
         self._domain = failure_domain
         self._by_ip: dict[str, PeerEntry] = {}
-        self._missed: dict[str, float] = {}
-        self.most = 0
+        self._missing: dict[str, float] = {}
+        self.peak = 0
         self.grown_at = float("-inf")
 
     def __len__(self) -> int:
         return len(self._by_ip)
 
     def get(self, ip: str) -> PeerEntry | None:
-        """Return the peer at an IP number."""
+        """Return the peer with an IP address."""
         return self._by_ip.get(ip)
 
     def ips(self) -> list[str]:
-        """Return the IP numbers of all peers."""
+        """Return the IP addresses of all peers."""
         return list(self._by_ip)
 
     def all(self) -> Iterable[PeerEntry]:
         """Return all peers."""
         return self._by_ip.values()
 
-    def near(self) -> list[PeerEntry]:
-        """Return the peers of this entry's failure domain."""
+    def in_own_domain(self) -> list[PeerEntry]:
+        """Return the peers in this entry's failure domain."""
         return [each for each in self._by_ip.values() if each.failure_domain == self._domain]
 
-    def is_news(self, hello: Hello) -> bool:
-        """Return whether a datagram says something new; datagrams may overtake each other."""
+    def is_newer(self, hello: Hello) -> bool:
+        """Return whether a hello is newer than the last one; datagrams may arrive out of order."""
         known = self._by_ip.get(hello.ip)
         if known is None or known.incarnation != hello.incarnation:
             return True
         return hello.number > known.number
 
-    def heard(self, hello: Hello, phase: Phase, now: float, silence: float) -> bool:
-        """Note what a peer says of itself; return whether this run of it was not heard before."""
+    def record_hello(self, hello: Hello, phase: Phase, now: float, timeout: float) -> bool:
+        """Record a hello; return whether it is the first one received from this run of the peer."""
         known = self._by_ip.get(hello.ip)
-        until = now + silence
+        until = now + timeout
         if known is not None and known.incarnation == hello.incarnation:
-            # A delegate that told of it vouches for it longer than its own greeting does.
-            until = max(until, known.told_until)
+            # A delegate's report may be valid for longer than the peer's own introduction.
+            until = max(until, known.reported_until)
         self._put(
             PeerEntry(
                 hello.ip,
@@ -97,32 +98,32 @@
         )
         return known is None or not known.number or known.incarnation != hello.incarnation
 
-    def heard_of(self, rows: Iterable[MemberRow], domain: str | None, now: float) -> None:
-        """Note which entries a delegate tells of; those that it does not name are gone.
+    def record_members(self, rows: Iterable[MemberRow], domain: str | None, now: float) -> None:
+        """Record the entries that a delegate reports, and remove those that it doesn't report.
 
         Args:
-            rows: The entries.
-            domain: The failure domain that it tells for, None for all.
-            now: The present time.
+            rows: Reported entries.
+            domain: Failure domain that the report covers, None for all.
+            now: Current time.
         """
         named = set()
         for row in rows:
             named.add(row.ip)
             if row.ip != self._ip:
-                self._put(self._told(row, now), now)
+                self._put(self._reported_entry(row, now), now)
         gone = [
             each.ip
             for each in self._by_ip.values()
             if each.ip not in named
             and domain in (None, each.failure_domain)
-            and now - each.heard_at > HEARD_SECONDS
+            and now - each.heard_at > DIRECT_CONTACT_SECONDS
         ]
-        self.drop(gone, "not named any more", now)
+        self.drop(gone, "no longer reported by the delegate", now)
 
-    def _told(self, row: MemberRow, now: float) -> PeerEntry:
+    def _reported_entry(self, row: MemberRow, now: float) -> PeerEntry:
         known = self._by_ip.get(row.ip)
         number, revision, heard_at = 0, 0, float("-inf")
-        until = now + MEMBER_SECONDS
+        until = now + REPORTED_PEER_TTL_SECONDS
         if known is not None and known.incarnation == row.incarnation:
             number, revision, heard_at = known.number, known.revision, known.heard_at
         return PeerEntry(
@@ -142,64 +143,66 @@
     def _put(self, entry: PeerEntry, now: float) -> None:
         known = self._by_ip.get(entry.ip)
         self._by_ip[entry.ip] = entry
-        self._missed.pop(entry.ip, None)
-        if len(self._by_ip) + 1 > self.most:
-            self.most = len(self._by_ip) + 1
+        self._missing.pop(entry.ip, None)
+        if len(self._by_ip) + 1 > self.peak:
+            self.peak = len(self._by_ip) + 1
             self.grown_at = now
         changed = known is None or (known.phase, known.incarnation) != (
             entry.phase,
             entry.incarnation,
         )
         if changed:
-            logger.bind(peer=entry.ip, phase=entry.phase.name).info("peer heard")
+            logger.bind(peer=entry.ip, phase=entry.phase.name).info("peer started or changed phase")
 
-    def part_heard(self, now: float) -> float:
-        """Return the part of all entries that is heard of, this one among them.
+    def reachable_fraction(self, now: float) -> float:
+        """Return the fraction of all entries that are reachable, including this one.
 
-        Entries that are gone count as cut off for some time, and for as long as fewer are heard
-        than missed: who hears nobody is more likely to be cut off itself than to be alone.
+        Removed entries count as partitioned for some time, and for as long as they outnumber the
+        reachable ones: an entry that receives nothing is more likely to be partitioned itself than
+        to be the only one running.
         """
-        self._forget_missed(now)
-        heard = len(self._by_ip) + 1
-        return heard / (heard + len(self._missed))
+        self._forget_missing(now)
+        reachable = len(self._by_ip) + 1
+        return reachable / (reachable + len(self._missing))
 
-    def _forget_missed(self, now: float) -> None:
-        if len(self._by_ip) + 1 > len(self._missed):
-            oldest = now - MISSED_SECONDS
-            self._missed = {ip: at for ip, at in self._missed.items() if at > oldest}
+    def _forget_missing(self, now: float) -> None:
+        if len(self._by_ip) + 1 > len(self._missing):
+            oldest = now - MISSING_TTL_SECONDS
+            self._missing = {ip: at for ip, at in self._missing.items() if at > oldest}
 
     def drop(self, ips: Iterable[str], reason: str, now: float) -> None:
-        """Forget peers that are gone."""
-        # Nobody may ask for the part for weeks, in which replaced entries would outnumber the rest.
-        self._forget_missed(now)
+        """Remove peers."""
+        # ``reachable_fraction`` may not be called for weeks. Without this call, replaced entries
+        # would accumulate until they outnumber the reachable ones, and never expire.
+        self._forget_missing(now)
         for ip in ips:
             gone = self._by_ip.pop(ip)
             if gone.phase is not Phase.LEAVING:
-                self._missed[ip] = now
-            logger.bind(peer=ip, phase=gone.phase.name, reason=reason).warning("peer is gone")
+                self._missing[ip] = now
+            logger.bind(peer=ip, phase=gone.phase.name, reason=reason).warning("peer removed")
 
     def silent(self, now: float) -> list[str]:
-        """Return the peers that count as gone."""
-        return [each.ip for each in self._by_ip.values() if each.silent_at <= now]
+        """Return the peers whose timeout has passed."""
+        return [each.ip for each in self._by_ip.values() if each.expires_at <= now]
 
     def in_phase(self, phase: Phase, now: float) -> list[PeerEntry]:
-        """Return the peers that live and say this of themselves."""
+        """Return the live peers in a phase."""
         return [
-            each for each in self._by_ip.values() if each.phase is phase and each.silent_at > now
+            each for each in self._by_ip.values() if each.phase is phase and each.expires_at > now
         ]
 
-    def beyond(self, revision: int) -> list[PeerEntry]:
-        """Return the peers that know more than a revision."""
+    def ahead_of(self, revision: int) -> list[PeerEntry]:
+        """Return the peers with a newer revision."""
         return [each for each in self._by_ip.values() if each.revision > revision]
 
     def readers(self, own_fits: bool) -> frozenset[str]:
         """Return the entries that read the published state for all.
 
-        Entries that know the same choose the same ones, in as many failure domains as there are;
-        who knows less may read as well, which costs some calls and no more.
+        Entries with the same list of peers select the same readers, in different failure domains if
+        possible. An entry that knows fewer peers may also read, which only costs extra calls.
 
         Args:
-            own_fits: Whether this entry may be one.
+            own_fits: Whether this entry is a candidate.
         """
         fit = (Phase.STARTING, Phase.READY)
         candidates = [
@@ -209,21 +212,21 @@
         ]
         if own_fits:
             candidates.append((self._domain, self._ip))
-        return first_of_domains(candidates, READERS)
+        return pick_across_domains(candidates, READER_COUNT)
 
     def delegate(self, leaving: bool) -> str:
-        """Return the entry that tells for this one's failure domain, empty where there is none.
+        """Return the IP address of this failure domain's delegate, or an empty string.
 
         Args:
-            leaving: Whether this entry stops.
+            leaving: Whether this entry is stopping.
         """
-        fit = [each.ip for each in self.near() if each.phase is not Phase.LEAVING]
+        fit = [each.ip for each in self.in_own_domain() if each.phase is not Phase.LEAVING]
         if not leaving:
             fit.append(self._ip)
         return min(fit, default="")
 
-    def far_delegates(self) -> list[str]:
-        """Return the entries that tell for the other failure domains."""
+    def other_delegates(self) -> list[str]:
+        """Return the IP addresses of the delegates of the other failure domains."""
         by_domain: dict[str, list[str]] = {}
         for each in self._by_ip.values():
             if each.failure_domain != self._domain and each.phase is not Phase.LEAVING:
@@ -231,12 +234,12 @@
         return [min(ips) for ips in by_domain.values()]
 
 
-def first_of_domains(entries: Sequence[tuple[str, str]], count: int) -> frozenset[str]:
-    """Return the entries that act for all: the first of each failure domain, then the second ones.
+def pick_across_domains(entries: Sequence[tuple[str, str]], count: int) -> frozenset[str]:
+    """Select entries: the first by IP address in each failure domain, then the second ones.
 
     Args:
-        entries: Failure domain and IP number of each that may.
-        count: How many are wanted.
+        entries: Failure domain and IP address of each candidate.
+        count: Number of entries to select.
     """
     seen: Counter[str] = Counter()
     order = []
--- a/carawayhub/gateway/relay.py
+++ b/carawayhub/gateway/relay.py
@@ -31,7 +31,7 @@
     NamedLimit,
     UnreadableLimit,
 )
-from carawayhub.gateway.events import WholeEvents
+from carawayhub.gateway.events import EventBuffer
 from carawayhub.gateway.health import Health
 from carawayhub.gateway.loads import Work, work_key
 from carawayhub.gateway.model import Endpoint, Repeat
@@ -71,7 +71,7 @@
 
     call: Admitted
     answer: CallerAnswer
-    events: WholeEvents = field(default_factory=WholeEvents)
+    events: EventBuffer = field(default_factory=EventBuffer)
     tried: set[str] = field(default_factory=set)
     sends: int = 0
     sent_to: set[str] = field(default_factory=set)
@@ -427,7 +427,7 @@
         left = max(0.01, progress.call.ends_at - now)
         match route.repeat:
             case Repeat.STREAM:
-                return route.silence
+                return route.stream_timeout
             case Repeat.IDEMPOTENT:
                 return left * FIRST_ATTEMPT_FRACTION if self._may_repeat(progress) else left
             case Repeat.ONCE:
--- a/carawayhub/gateway/tally.py
+++ b/carawayhub/gateway/tally.py
@@ -1,4 +1,4 @@
-"""Counters and latencies of a gateway, as text for metric collectors."""
+"""Counters and latencies of a gateway in the Prometheus text format."""
 
 import math
 from collections import Counter
@@ -10,12 +10,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LimitsMet:
-    """Limits that replicas name, and what they cost.
+class ReplicaLimits:
+    """Rate limits reported by replicas, and their effect.
 
     Attributes:
-        limits: Requests a second by the key of the replica.
-        held_back: Times that a request did not go to a replica because of its limit.
+        limits: Requests per second, by key of the replica.
+        held_back: Number of times that a request wasn't sent to a replica because of its limit.
     """
 
     limits: Mapping[int, float] = field(default_factory=dict)
@@ -23,14 +23,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ViewSeen:
-    """What an entry knows of the published state at one moment.
+class ViewStatus:
+    """Status of an entry's view of the published state.
 
     Attributes:
-        version: Version of the configuration in force, 0 while none is.
-        revision: Everything published up to it is known.
-        age: Seconds since that was proved to be the newest.
-        reads: Whether this entry reads for its peers.
+        version: Version of the active configuration, 0 if there is none.
+        revision: Published revision up to which everything is known.
+        age: Seconds since this revision was last proved to be the newest.
+        reads: Whether this entry reads the store for its peers.
     """
 
     version: int = 0
@@ -40,60 +40,62 @@
 
 
 class Tally:
-    """What one entry measured since it started.
+    """Metrics of one entry since it started.
 
     Args:
-        unreadable_entries: Gives the entries of endpoints so far that could not be read.
-        limits_met: Gives the limits of replicas.
-        view_seen: Gives what is known of the published state.
+        unreadable_entries: Returns the number of malformed endpoint registrations so far.
+        replica_limits: Returns the rate limits of replicas.
+        view_status: Returns the status of the view of the published state.
     """
 
     __slots__ = (
         "_ended_under_requests",
         "_ends",
-        "_late_tables",
-        "_limits_met",
+        "_table_delays",
+        "_replica_limits",
         "_times",
         "_unreadable_entries",
-        "_view_seen",
+        "_view_status",
     )
 
     def __init__(
         self,
         unreadable_entries: Callable[[], int] = lambda: 0,
-        limits_met: Callable[[], LimitsMet] = LimitsMet,
-        view_seen: Callable[[], ViewSeen] = ViewSeen,
+        replica_limits: Callable[[], ReplicaLimits] = ReplicaLimits,
+        view_status: Callable[[], ViewStatus] = ViewStatus,
     ) -> None:
         self._unreadable_entries = unreadable_entries
-        self._limits_met = limits_met
-        self._view_seen = view_seen
-        self._late_tables = Recorder()
+        self._replica_limits = replica_limits
+        self._view_status = view_status
+        self._table_delays = Recorder()
         self._ends: Counter[tuple[str, str, Code, int]] = Counter()
         self._times: dict[str, Recorder] = {}
         self._ended_under_requests: Counter[str] = Counter()
 
     def ended(self, route: str, organisation: str, code: Code, status: int, seconds: float) -> None:
-        """Count the end of a request."""
+        """Record a completed request."""
         self._ends[(route, organisation, code, status)] += 1
         recorder = self._times.get(route)
         if recorder is None:
             recorder = self._times[route] = Recorder()
         recorder.record(seconds)
 
-    def table_in_force(self, late_at_most: float) -> None:
-        """Record for how many seconds a configuration may have been published before.
+    def table_applied(self, late_at_most: float) -> None:
+        """Record the maximum delay between publication and activation of a configuration.
 
-        The first one of a process has nothing to be counted from.
+        Args:
+            late_at_most: Upper bound in seconds; infinite for the first configuration of a
+                process, which isn't recorded.
         """
         if not math.isinf(late_at_most):
-            self._late_tables.record(late_at_most)
+            self._table_delays.record(late_at_most)
 
     def endpoint_ended(self, service: str) -> None:
-        """Count a request whose endpoint ended while it worked on it."""
+        """Count a request during which its endpoint crashed or stopped."""
         self._ended_under_requests[service] += 1
 
     def page(self) -> str:
-        """Return all counters and latencies."""
+        """Return all metrics as text."""
         lines = ["# TYPE carawayhub_gateway_requests_total counter"]
         for (route, organisation, code, status), count in sorted(self._ends.items()):
             labels = (
@@ -107,7 +109,7 @@
         for service, count in sorted(self._ended_under_requests.items()):
             labels = f'service="{service}"'
             lines.append(f"carawayhub_gateway_cut_by_endpoint_ends_total{{{labels}}} {count}")
-        met = self._limits_met()
+        met = self._replica_limits()
         lines.append("# TYPE carawayhub_gateway_replica_limit gauge")
         for key, per_second in sorted(met.limits.items()):
             lines.append(f'carawayhub_gateway_replica_limit{{replica="{key}"}} {per_second}')
@@ -121,7 +123,7 @@
         return "\n".join(lines) + "\n"
 
     def _view_lines(self) -> list[str]:
-        seen = self._view_seen()
+        seen = self._view_status()
         name = "carawayhub_gateway_configuration_late_milliseconds"
         return [
             "# TYPE carawayhub_gateway_configuration_version gauge",
@@ -133,5 +135,5 @@
             "# TYPE carawayhub_gateway_reads_for_peers gauge",
             f"carawayhub_gateway_reads_for_peers {int(seen.reads)}",
             f"# TYPE {name} summary",
-            *summary_lines(name, "", self._late_tables),
+            *summary_lines(name, "", self._table_delays),
         ]
--- a/carawayhub/gateway/telling.py
+++ b/carawayhub/gateway/telling.py
@@ -1,11 +1,12 @@
-"""What an entry tells other entries of itself, and as a delegate for others.
-
-In a small fleet each entry tells all others. In a large one that would be 98 times 97 datagrams a
-round, each of them late for want of rate and most of them across failure domains; there each entry
-tells the delegate of its failure domain, the first one by IP number, delegates tell each other for
-their domains, and each tells its domain for all others. What is known of load is so three short
-steps old, and across domains go a few datagrams a round. Where a delegate is lost, the next one
-finds that out by its silence.
+"""Builds the gossip datagrams that an entry sends about itself and, as a delegate, about others.
+
+In a small fleet each entry sends to all others. With 98 entries that would be 98 * 97 datagrams per
+round, most of them across failure domains, and the rate limit would delay each one. In a large
+fleet each entry therefore sends only to the delegate of its failure domain, which is the entry with
+the lowest IP address as a string. Delegates exchange digests of their domains, and each delegate
+forwards the rest of the fleet to its own domain. Load information then travels three hops, and only
+a few datagrams per round cross failure domains. When a delegate stops sending, its entry expires at
+the other entries and the next one takes over.
 """
 
 from collections.abc import Callable, Iterable
@@ -30,50 +31,51 @@
 from carawayhub.limits.poisonnews import PoisonUpdates
 from carawayhub.limits.replicarate import ReplicaRates
 
-INTERVAL = 0.1
-"""Seconds between two datagrams to a receiver: a place that a peer frees is known within a tenth of
-the second or so that a request takes."""
+GOSSIP_INTERVAL_SECONDS = 0.1
+"""Interval between two datagrams to one receiver. It is a tenth of a typical request duration of
+one second, so a slot released at a peer becomes known soon enough."""
 
-DATAGRAMS_A_SECOND = 300.0
-"""Most datagrams that one entry sends a second: a hundredth of a core or two. A delegate of a large
-failure domain tells each entry less often."""
+MAX_DATAGRAMS_PER_SECOND = 300.0
+"""Limit for one entry, which keeps the cost at one or two hundredths of a core. A delegate of a
+large failure domain sends to each entry less often."""
 
-STEPS_OF_NEWS = 3
-"""Intervals that news take by way of delegates."""
+PROPAGATION_HOPS = 3
+"""Gossip intervals until an update has passed through both delegates to all entries."""
 
-NEAR_EVERY = 6
-"""Rounds of which in one an entry tells those of its own failure domain that are no delegates that
-it lives: they take its place as a delegate or it takes theirs."""
+DOMAIN_HELLO_ROUNDS = 6
+"""A member sends a hello to the other members of its failure domain once in this many rounds, so
+that they can take over from each other as delegate."""
 
-FAMILY_EVERY = 8
-"""Rounds of which one names the peers, which change seldom."""
+MEMBER_LIST_ROUNDS = 8
+"""The member list is sent once in this many rounds, as it rarely changes."""
 
-GREETING_INTERVAL = 0.5
-"""Seconds for which who is greeted waits for a further word: until a delegate has told of it."""
+INTRODUCTION_INTERVAL_SECONDS = 0.5
+"""Interval announced in an introduction. The receiver keeps the sender for a multiple of it, until
+a delegate has reported the sender."""
 
-ROUNDS_KEPT = 256
-"""Datagrams whose time is remembered, for peers to answer to: those of several seconds."""
+MAX_SENT_TIMES = 256
+"""Send times kept for matching acknowledgements by peers; this covers several seconds."""
 
-MOST_REFUSING = 64
-"""Refusing endpoints that one datagram names: a kilobyte."""
+MAX_REFUSING = 64
+"""Refusing endpoints listed in one datagram, which take about a kilobyte."""
 
-MOST_ROWS = 4_000
-"""Endpoints whose work one datagram tells; those with most requests where there are more. A row
-takes about eleven bytes."""
+MAX_WORK_ROWS = 4_000
+"""Endpoints whose work is listed in one datagram, at about eleven bytes per row. If there are more,
+those with the most requests are kept."""
 
-OTHERS = "others"
-"""Teller of the work that an entry's delegate told of."""
+VIA_DELEGATE = "others"
+"""Reporter name under which a member stores what its delegate reports about all other entries."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class OwnPlace:
-    """Where this entry is found.
+class OwnAddress:
+    """Addresses of this entry.
 
     Attributes:
-        ip: IP number that peers send to.
-        port: Port of all entries for this exchange.
-        callers: ``ip:port`` at which it takes callers.
-        failure_domain: Where it stands.
+        ip: IP address that peers send to.
+        port: UDP port that all entries use for gossip.
+        callers: ``ip:port`` that accepts callers.
+        failure_domain: Failure domain of this entry.
     """
 
     ip: str
@@ -83,7 +85,7 @@
 
 
 class Part(Enum):
-    """The part of an entry in the exchange."""
+    """Role of an entry in the gossip exchange."""
 
     EQUAL = "each tells all"
     MEMBER = "tells its delegate"
@@ -91,25 +93,25 @@
 
 
 class OwnState:
-    """What this entry has to tell of itself.
+    """State that this entry announces to its peers.
 
     Args:
-        place: Where it is found.
-        incarnation: Names this run, drawn at random.
+        address: Addresses of this entry.
+        incarnation: Random ID of this run of the process.
 
     Attributes:
-        place: The same.
-        incarnation: The same.
-        phase: What it says of itself.
-        news: Gives what it knows of the published state.
-        refusing: Gives the endpoints that have just refused requests of it.
-        told_refusing: Those that refused requests of others, by who told of them.
+        address: Addresses of this entry.
+        incarnation: Random ID of this run of the process.
+        phase: Announced phase.
+        news: Returns what this entry knows of the published state.
+        refusing: Returns the endpoints that recently refused requests of this entry.
+        told_refusing: Endpoints that refused requests of other entries, by reporter.
     """
 
-    __slots__ = ("incarnation", "news", "phase", "place", "refusing", "told_refusing")
+    __slots__ = ("address", "incarnation", "news", "phase", "refusing", "told_refusing")
 
-    def __init__(self, place: OwnPlace, incarnation: str) -> None:
-        self.place = place
+    def __init__(self, address: OwnAddress, incarnation: str) -> None:
+        self.address = address
         self.incarnation = incarnation
         self.phase = Phase.STARTING
         self.news: Callable[[], News] = _no_news
@@ -117,45 +119,45 @@
         self.told_refusing: dict[str, list[str]] = {}
 
     def row(self) -> MemberRow:
-        """Return what others are told of it by its delegate."""
-        place = self.place
+        """Return the row that a delegate sends about this entry."""
+        address = self.address
         return MemberRow(
-            place.ip,
+            address.ip,
             self.incarnation,
             self.phase,
-            place.callers,
-            place.failure_domain,
+            address.callers,
+            address.failure_domain,
             self.news().reads,
         )
 
 
 @dataclass(frozen=True, slots=True)
-class _Numbered:
-    """A hello as it is sent, and its number."""
+class _NumberedHello:
+    """An encoded hello and its sequence number."""
 
     number: int
     hello: msgspec.Raw
 
 
-class Teller:
-    """Makes the datagrams that an entry sends.
+class DatagramBuilder:
+    """Builds the datagrams of each gossip round.
 
     Args:
-        own: What it has to tell of itself.
-        peers: The other entries.
+        own: State that this entry announces.
+        peers: The other known entries.
         loads: Work in flight.
-        poison_news: Requests under which endpoints ended.
-        rates: Limits that replicas name, and requests sent to them.
+        poison_news: Requests during which endpoints crashed.
+        rates: Rate limits reported by replicas, and requests sent to them.
         clock: Source of time.
 
     Attributes:
-        part: Its part in the exchange.
+        part: Role of this entry in the exchange.
     """
 
     __slots__ = (
         "_clock",
         "_loads",
-        "_named",
+        "_last_members",
         "_number",
         "_own",
         "_peers",
@@ -184,167 +186,172 @@
         self._number = 0
         self._rounds = 0
         self._sent: dict[int, float] = {}
-        self._named: dict[str, list[MemberRow]] = {}
+        self._last_members: dict[str, list[MemberRow]] = {}
         self.part = Part.EQUAL
 
     @property
     def interval(self) -> float:
-        """Seconds between two datagrams to each receiver."""
+        """Seconds between two datagrams to one receiver."""
         match self.part:
             case Part.EQUAL:
                 receivers = len(self._peers)
             case Part.MEMBER:
                 receivers = 1
             case Part.DELEGATE:
-                receivers = self._receivers_of_delegate()
-        return max(INTERVAL, receivers / DATAGRAMS_A_SECOND)
+                receivers = self._delegate_receivers()
+        return max(GOSSIP_INTERVAL_SECONDS, receivers / MAX_DATAGRAMS_PER_SECOND)
 
-    def _receivers_of_delegate(self) -> int:
-        return len(self._peers.near()) + len(self._peers.far_delegates())
+    def _delegate_receivers(self) -> int:
+        return len(self._peers.in_own_domain()) + len(self._peers.other_delegates())
 
     @property
-    def news_seconds(self) -> float:
-        """Seconds until all entries know of a choice of this one."""
+    def propagation_seconds(self) -> float:
+        """Seconds until a routing decision of this entry is known to all entries."""
         if self.part is Part.EQUAL:
             return self.interval
-        interval = max(INTERVAL, self._receivers_of_delegate() / DATAGRAMS_A_SECOND)
-        return STEPS_OF_NEWS * interval
+        interval = max(
+            GOSSIP_INTERVAL_SECONDS, self._delegate_receivers() / MAX_DATAGRAMS_PER_SECOND
+        )
+        return PROPAGATION_HOPS * interval
 
     def sent_at(self, number: int) -> float | None:
-        """Return when a datagram was sent, None where that is too long ago."""
+        """Return when a datagram was sent, or None if its send time is no longer kept."""
         return self._sent.get(number)
 
     def delegate(self) -> str:
-        """Return the entry that tells for this one's failure domain, empty where there is none."""
+        """Return the IP address of this failure domain's delegate, or an empty string."""
         return self._peers.delegate(self._own.phase is Phase.LEAVING)
 
     def round(self, *, urgent: bool) -> dict[str, bytes]:
-        """Return the datagrams of one round by receiver.
+        """Return the datagrams of one round, by receiver.
 
         Args:
-            urgent: Whether there is news that all should have at once.
+            urgent: Whether there is an update that all entries need immediately.
         """
         self._rounds += 1
-        hello = self._hello(self._rows(self._loads.own()), names_peers=self._is_family_due())
+        hello = self._hello(self._rows(self._loads.own()), lists_peers=self._is_member_list_due())
         match self.part:
             case Part.EQUAL:
                 return {ip: self._datagram(ip, hello) for ip in self._peers.ips()}
             case Part.MEMBER:
-                told = self._for_successors(urgent)
+                datagrams = self._to_own_domain(urgent)
                 if delegate := self.delegate():
-                    told[delegate] = self._datagram(delegate, hello)
-                return told
+                    datagrams[delegate] = self._datagram(delegate, hello)
+                return datagrams
             case Part.DELEGATE:
-                return self._for_domain(hello) | self._for_delegates()
+                return self._to_members(hello) | self._to_delegates()
 
-    def greeting(self, ips: Iterable[str]) -> dict[str, bytes]:
-        """Return the datagrams for entries that have just been met, or may live."""
-        hello = self._hello([], names_peers=True, interval=GREETING_INTERVAL)
+    def introductions(self, ips: Iterable[str]) -> dict[str, bytes]:
+        """Return datagrams for newly discovered entries and for seeds that may be running."""
+        hello = self._hello([], lists_peers=True, interval=INTRODUCTION_INTERVAL_SECONDS)
         return {ip: self._datagram(ip, hello) for ip in sorted(ips)}
 
-    def _for_successors(self, urgent: bool) -> dict[str, bytes]:
-        """Return what the others of the failure domain are told, who tell for it one day.
+    def _to_own_domain(self, urgent: bool) -> dict[str, bytes]:
+        """Return the hellos to other members of the failure domain, which may become delegates.
 
-        Requests under which endpoints ended are told to the delegate alone, who tells them on.
+        Requests during which endpoints crashed are sent only to the delegate, which forwards them.
         """
-        if self._rounds % NEAR_EVERY and not urgent:
+        if self._rounds % DOMAIN_HELLO_ROUNDS and not urgent:
             return {}
-        hello = self._hello([], interval=NEAR_EVERY * INTERVAL)
+        hello = self._hello([], interval=DOMAIN_HELLO_ROUNDS * GOSSIP_INTERVAL_SECONDS)
         return {
-            each.ip: self._datagram(each.ip, hello, tells_ends=False) for each in self._peers.near()
+            each.ip: self._datagram(each.ip, hello, with_ends=False)
+            for each in self._peers.in_own_domain()
         }
 
-    def _for_delegates(self) -> dict[str, bytes]:
-        """Return what the other delegates are told for this entry's failure domain."""
-        near = self._peers.near()
-        tellers = [each.ip for each in near]
+    def _to_delegates(self) -> dict[str, bytes]:
+        """Return the datagrams to other delegates, with a digest of this failure domain."""
+        in_own_domain = self._peers.in_own_domain()
+        reporters = [each.ip for each in in_own_domain]
         digest = _raw(
             Digest(
-                members=self._names("", [*(each.row() for each in near), self._own.row()]),
-                works=self._rows(self._loads.of(tellers)),
-                refusing=self._refusing(tellers),
-                rates=self._rates.rows(tellers),
+                members=self._members_if_due(
+                    "", [*(each.row() for each in in_own_domain), self._own.row()]
+                ),
+                works=self._rows(self._loads.of(reporters)),
+                refusing=self._refusing(reporters),
+                rates=self._rates.rows(reporters),
             )
         )
         hello = self._hello([])
-        return {ip: self._datagram(ip, hello, digest) for ip in self._peers.far_delegates()}
+        return {ip: self._datagram(ip, hello, digest) for ip in self._peers.other_delegates()}
 
-    def _for_domain(self, hello: _Numbered) -> dict[str, bytes]:
-        """Return what the entries of this one's failure domain are told for all others.
+    def _to_members(self, hello: _NumberedHello) -> dict[str, bytes]:
+        """Return the datagrams to members of this failure domain, with a digest of the fleet.
 
-        Each is told the work of all but itself, which it knows better.
+        The digest for a member leaves out that member's own work, which it knows more exactly.
         """
-        names = self._names(OTHERS, [each.row() for each in self._peers.all()])
+        member_rows = self._members_if_due(VIA_DELEGATE, [each.row() for each in self._peers.all()])
         refusing = self._refusing(self._own.told_refusing)
-        told = {}
-        for each in self._peers.near():
+        datagrams = {}
+        for each in self._peers.in_own_domain():
             works = self._rows(self._loads.without(each.ip))
             rates = self._rates.rows_without(each.ip)
-            digest = _raw(Digest(members=names, works=works, refusing=refusing, rates=rates))
-            told[each.ip] = self._datagram(each.ip, hello, digest)
-        return told
+            digest = _raw(Digest(members=member_rows, works=works, refusing=refusing, rates=rates))
+            datagrams[each.ip] = self._datagram(each.ip, hello, digest)
+        return datagrams
 
-    def _names(self, receivers: str, members: list[MemberRow]) -> list[MemberRow] | None:
-        """Return the members where they have changed or are due to be named again."""
-        if members == self._named.get(receivers) and not self._is_family_due():
+    def _members_if_due(self, receivers: str, members: list[MemberRow]) -> list[MemberRow] | None:
+        """Return the members if they have changed or are due to be sent again, otherwise None."""
+        if members == self._last_members.get(receivers) and not self._is_member_list_due():
             return None
-        self._named[receivers] = members
+        self._last_members[receivers] = members
         return members
 
-    def _is_family_due(self) -> bool:
-        return self._rounds % FAMILY_EVERY == 1
+    def _is_member_list_due(self) -> bool:
+        return self._rounds % MEMBER_LIST_ROUNDS == 1
 
-    def _refusing(self, tellers: Iterable[str]) -> list[str]:
+    def _refusing(self, reporters: Iterable[str]) -> list[str]:
         found = set(self._own.refusing())
-        for teller in tellers:
-            found.update(self._own.told_refusing.get(teller, ()))
-        return sorted(found)[:MOST_REFUSING]
+        for reporter in reporters:
+            found.update(self._own.told_refusing.get(reporter, ()))
+        return sorted(found)[:MAX_REFUSING]
 
     def _datagram(
         self,
         ip: str,
-        hello: _Numbered,
+        hello: _NumberedHello,
         digest: msgspec.Raw = NO_DIGEST,
         *,
-        tells_ends: bool = True,
+        with_ends: bool = True,
     ) -> bytes:
         peer = self._peers.get(ip)
         if peer is None:
             return msgspec.msgpack.encode(Datagram("", 0, hello.hello, digest))
         run = peer.incarnation
-        ends = self._poison_news.rows_for(ip, run, hello.number) if tells_ends else []
+        ends = self._poison_news.rows_for(ip, run, hello.number) if with_ends else []
         return msgspec.msgpack.encode(Datagram(run, peer.number, hello.hello, digest, ends))
 
     def _rows(self, works: Works) -> list[WorkRow]:
         rows = [
             WorkRow(key, work.requests, work.reading, work.tokens) for key, work in works.items()
         ]
-        if len(rows) > MOST_ROWS:
+        if len(rows) > MAX_WORK_ROWS:
             rows.sort(key=lambda row: -row.requests)
-        return rows[:MOST_ROWS]
+        return rows[:MAX_WORK_ROWS]
 
     def _hello(
-        self, works: list[WorkRow], *, names_peers: bool = False, interval: float = 0.0
-    ) -> _Numbered:
+        self, works: list[WorkRow], *, lists_peers: bool = False, interval: float = 0.0
+    ) -> _NumberedHello:
         self._number += 1
         self._sent[self._number] = self._clock.monotonic()
-        self._sent.pop(self._number - ROUNDS_KEPT, None)
+        self._sent.pop(self._number - MAX_SENT_TIMES, None)
         own = self._own
         hello = Hello(
-            ip=own.place.ip,
+            ip=own.address.ip,
             incarnation=own.incarnation,
             number=self._number,
             phase=own.phase,
-            callers=own.place.callers,
-            failure_domain=own.place.failure_domain,
+            callers=own.address.callers,
+            failure_domain=own.address.failure_domain,
             interval=interval or self.interval,
-            peers=self._peers.ips() if names_peers else [],
+            peers=self._peers.ips() if lists_peers else [],
             news=own.news(),
-            refusing=own.refusing()[:MOST_REFUSING],
+            refusing=own.refusing()[:MAX_REFUSING],
             works=works,
             rates=self._rates.rows(),
         )
-        return _Numbered(self._number, _raw(hello))
+        return _NumberedHello(self._number, _raw(hello))
 
 
 def _raw(message: msgspec.Struct) -> msgspec.Raw:
--- a/carawayhub/gateway/view.py
+++ b/carawayhub/gateway/view.py
@@ -221,8 +221,8 @@
         Ranks register that their group is stalled only 1.5 s later. Requests sent to them until
         then would wait there and be refused.
         """
-        if endpoint.seat is not None:
-            self._group_status.rank_ended(endpoint.seat)
+        if endpoint.membership is not None:
+            self._group_status.rank_ended(endpoint.membership)
             self._rebuild()
 
     def misdirected(self, endpoint_id: str) -> None:
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -1,4 +1,4 @@
-"""Small pieces that tests of the gateway are built from."""
+"""Factories for tests of the gateway."""
 
 import random
 
@@ -11,7 +11,7 @@
     Endpoint,
     EndpointState,
     EngineProfile,
-    GroupSeat,
+    GroupMembership,
     Incarnation,
     Organisation,
     Repeat,
@@ -35,7 +35,7 @@
     address: str = "127.0.0.1:9",
     registered: int = 0,
     born: int = 0,
-    seat: GroupSeat | None = None,
+    membership: GroupMembership | None = None,
 ) -> Endpoint:
     """Return an endpoint."""
     incarnation = Incarnation(name, born)
@@ -47,7 +47,7 @@
         failure_domain="brest",
         places=places,
         state=state,
-        seat=seat,
+        membership=membership,
         registered=registered,
     )
 
@@ -85,18 +85,18 @@
         kv_tokens=186_000,
         step=0.006,
         step_per_request=0.0007,
-        read_rate=61_000.0,
+        prefill_rate=61_000.0,
         chunk=512,
         stride=5,
-        usual_prompt=800.0,
-        usual_answer=140.0,
+        mean_prompt_tokens=800.0,
+        mean_answer_tokens=140.0,
         experts=None,
     )
 
 
 def table(version: int = 1, *routes: Route) -> RouteTable:
     """Return a configuration with two services and one organisation."""
-    found = RouteTable(
+    config = RouteTable(
         version=version,
         services={
             "llm": Service(name="llm", health_path="/health", connections=100, engine=engine()),
@@ -104,15 +104,15 @@
         },
         limits=CallerLimits(),
         organisations={KEY: Organisation("armor", None)},
-        keyed=True,
+        keys_required=True,
     )
     for each in routes or (route(),):
-        found.add(each)
-    return found
+        config.add(each)
+    return config
 
 
 def entry_options(ip: str, ips: list[str], bounds: Bounds = BOUNDS) -> GatewayOptions:
-    """Return what the entry at ``ip`` is given; the first three of all may live."""
+    """Return the options of the entry at ``ip``, with the first three entries as seeds."""
     return GatewayOptions(
         callers=Address(ip, 80),
         seeds=frozenset(ips[:3]),
@@ -136,5 +136,5 @@
 
 
 def rates(clock: Clock) -> ReplicaRates:
-    """Return limits of replicas of which none is known yet."""
+    """Return rate limits of replicas, of which none is known yet."""
     return ReplicaRates(clock, random.Random(5), work_key)
--- a/tests/test_gateway_gossip.py
+++ b/tests/test_gateway_gossip.py
@@ -1,4 +1,4 @@
-"""What entries tell each other, and what may be concluded from it."""
+"""Tests of the gossip between entries and of the selection of readers."""
 
 import random
 import socket
@@ -11,8 +11,8 @@
 from carawayhub.gateway.gossip import Gossip
 from carawayhub.gateway.hello import News, Phase
 from carawayhub.gateway.loads import Loads, Work
-from carawayhub.gateway.peers import first_of_domains
-from carawayhub.gateway.telling import OwnPlace
+from carawayhub.gateway.peers import pick_across_domains
+from carawayhub.gateway.telling import OwnAddress
 from carawayhub.limits.poison import PoisonRecords
 from tests.gateway_world import rates
 
@@ -26,7 +26,7 @@
 class Exchange(unittest.TestCase):
     """Three entries on loopback addresses."""
 
-    def run_entries(self, story) -> None:
+    def run_entries(self, scenario) -> None:
         port = free_port()
         ips = ["127.0.0.1", "127.0.0.2", "127.0.0.3"]
 
@@ -39,14 +39,14 @@
                     self.scopes.append(scope)
                     tasks.start_soon(self.serve, each, scope)
                 with anyio.fail_after(20.0):
-                    await self.until(lambda: all(each.most_entries == 3 for each in self.entries))
-                    await story()
+                    await self.until(lambda: all(each.peak_entries == 3 for each in self.entries))
+                    await scenario()
                 tasks.cancel_scope.cancel()
 
         anyio.run(main)
 
     def entry(self, ip: str, seed: str, port: int) -> Gossip:
-        own = OwnPlace(ip=ip, port=port, callers=f"{ip}:80", failure_domain="brest")
+        own = OwnAddress(ip=ip, port=port, callers=f"{ip}:80", failure_domain="brest")
         return Gossip(
             own,
             frozenset({seed}),
@@ -61,12 +61,12 @@
         with scope:
             await entry.run()
 
-    async def until(self, holds) -> None:
-        while not holds():
+    async def until(self, condition) -> None:
+        while not condition():
             await anyio.sleep(0.02)
 
     def test_all_meet_through_one_seed_and_hear_of_loads_and_phases(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             first, second, third = self.entries
             first._loads.begin("i-1", Work(2, 0, 500))
             second.set_phase(Phase.READY)
@@ -78,92 +78,93 @@
             await self.until(lambda: third.is_reader())
             self.assertFalse(second.is_reader())
 
-        self.run_entries(story)
+        self.run_entries(scenario)
 
     def test_entry_that_still_meets_others_does_not_say_how_many_there_are(self) -> None:
-        """All VMs lose power, and each entry has met five of forty when callers come back.
+        """An entry must not report the number of entries while it still discovers others.
 
-        Each took a fifth of the retry budget that all share, and endpoints that had just come back
-        got more repeated requests than the operators allow.
+        After a power failure, each entry that has discovered five of forty entries when callers
+        reconnect would claim a fifth of the shared retry budget, and restarted endpoints would
+        receive more retries than operators allow.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             self.assertIn(0, [each.settled_entries() for each in self.entries])
             await self.until(lambda: all(each.settled_entries() == 3 for each in self.entries))
 
-        self.run_entries(story)
+        self.run_entries(scenario)
 
     def test_endpoints_that_refuse_one_entry_are_known_to_all(self) -> None:
-        """Each of 40 entries had to be refused by each rank of a broken group for itself."""
+        """Without sharing, each of 40 entries must be refused by each rank of a broken group."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             first, second, third = self.entries
-            heard: list[str] = []
-            third.on_refusing = heard.extend
+            received: list[str] = []
+            third.on_refusing = received.extend
             first.own.refusing = lambda: ["i-7"]
-            await self.until(lambda: "i-7" in heard)
+            await self.until(lambda: "i-7" in received)
 
-        self.run_entries(story)
+        self.run_entries(scenario)
 
     def test_silent_entry_is_dropped_with_its_loads(self) -> None:
-        """An entry loses power. Its requests are gone; counting them would keep places empty."""
+        """The requests of a crashed entry have ended; counting them would leave slots unused."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             self.entries[0]._loads.begin("i-1", Work(2, 0, 500))
             third = self.entries[2]
             await self.until(lambda: third._loads.total("i-1").requests == 2)
             self.scopes[0].cancel()
             await self.until(lambda: third._loads.total("i-1").requests == 0)
 
-        self.run_entries(story)
+        self.run_entries(scenario)
 
     def test_news_are_dated_by_the_datagram_they_answer(self) -> None:
-        """A proof that is handed on must not seem younger than it is.
+        """A forwarded proof must not appear to be newer than it is.
 
-        It may have waited in the receiver's buffer while that VM was suspended. So it counts from
-        when the receiver sent what the peer answers to.
+        It may have waited in the receive buffer while that VM was suspended. Its age is therefore
+        counted from when the receiver sent the datagram that the peer acknowledges.
         """
-        heard: list[tuple[News, float, float]] = []
+        received: list[tuple[News, float, float]] = []
 
-        async def story() -> None:
+        async def scenario() -> None:
             clock = SystemClock()
             first, second, _ = self.entries
             first.own.news = lambda: News(7, 0.5, 0.0)
-            second.on_news = lambda news, at: heard.append((news, at, clock.monotonic()))
-            await self.until(lambda: any(news.revision == 7 for news, _, _ in heard))
-            for news, proved_at, now in heard:
+            second.on_news = lambda news, at: received.append((news, at, clock.monotonic()))
+            await self.until(lambda: any(news.revision == 7 for news, _, _ in received))
+            for news, proved_at, now in received:
                 if news.revision == 7:
                     self.assertLessEqual(proved_at, now - 0.5)
 
-        self.run_entries(story)
+        self.run_entries(scenario)
 
     def test_unreadable_datagrams_change_nothing(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             first = self.entries[0]
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
                 for data in (b"", b"\xff", msgspec.msgpack.encode([1, 2]), b"x" * 5000):
-                    sock.sendto(data, (first.own.place.ip, first.own.place.port))
+                    sock.sendto(data, (first.own.address.ip, first.own.address.port))
             await anyio.sleep(0.3)
-            self.assertEqual(first.most_entries, 3)
+            self.assertEqual(first.peak_entries, 3)
 
-        self.run_entries(story)
+        self.run_entries(scenario)
 
 
 class Readers(unittest.TestCase):
-    """Which entries read the published state for all."""
+    """Selection of the entries that read the published state for all."""
 
     def test_they_stand_in_different_failure_domains(self) -> None:
         entries = [("b", "10.2.0.1"), ("a", "10.1.0.1"), ("a", "10.1.0.2"), ("c", "10.3.0.1")]
-        self.assertEqual(first_of_domains(entries, 2), {"10.1.0.1", "10.2.0.1"})
-        self.assertEqual(first_of_domains(entries[1:3], 2), {"10.1.0.1", "10.1.0.2"})
-        self.assertEqual(first_of_domains(entries[:1], 2), {"10.2.0.1"})
+        self.assertEqual(pick_across_domains(entries, 2), {"10.1.0.1", "10.2.0.1"})
+        self.assertEqual(pick_across_domains(entries[1:3], 2), {"10.1.0.1", "10.1.0.2"})
+        self.assertEqual(pick_across_domains(entries[:1], 2), {"10.2.0.1"})
 
 
 class Order(unittest.TestCase):
-    """Datagrams that overtake each other."""
+    """Datagrams that arrive out of order."""
 
     def test_older_news_do_not_replace_newer(self) -> None:
-        own = OwnPlace(ip="10.0.0.1", port=1, callers="10.0.0.1:80", failure_domain="brest")
+        own = OwnAddress(ip="10.0.0.1", port=1, callers="10.0.0.1:80", failure_domain="brest")
         gossip = Gossip(
             own,
             frozenset(),
@@ -173,7 +174,7 @@
             ManualClock(1.0),
             random.Random(1),
         )
-        other = OwnPlace(ip="10.0.0.2", port=1, callers="10.0.0.2:80", failure_domain="brest")
+        other = OwnAddress(ip="10.0.0.2", port=1, callers="10.0.0.2:80", failure_domain="brest")
         peer = Gossip(
             other,
             frozenset(),
@@ -186,7 +187,7 @@
         hellos = []
         for phase in (Phase.READY, Phase.LEAVING):
             peer.set_phase(phase)
-            hellos.append(gossip.read(peer._teller.greeting(["10.0.0.1"])["10.0.0.1"]))
+            hellos.append(gossip.read(peer._builder.introductions(["10.0.0.1"])["10.0.0.1"]))
         gossip.take(hellos[1])
         gossip.take(hellos[0])
         self.assertEqual(gossip.entries(Phase.READY), [])
