--- a/benchmarks/group_load.py
+++ b/benchmarks/group_load.py
@@ -39,7 +39,7 @@
     Service,
     Share,
 )
-from carawayhub.gateway.pool import Place, ServicePool
+from carawayhub.gateway.pool import ServicePool, Slot
 from carawayhub.gateway.ports import EndpointPublished, Published, TablePublished
 from carawayhub.gateway.retryshare import RetryShare
 from carawayhub.gateway.view import FleetView
@@ -277,8 +277,8 @@
             }
             for peer, loads in enumerate(self.loads):
                 if peer != at:
-                    loads.heard(str(at), works)
-                    self.pools[peer].serve_line()
+                    loads.update_peer(str(at), works)
+                    self.pools[peer].serve_queue()
             await anyio.sleep(NEWS_SECONDS * self.rng.uniform(0.9, 1.1))
 
     async def _caller(self) -> None:
@@ -302,7 +302,7 @@
         pool = self.rng.choice(self.pools)
         pool.retries.arrived()
         try:
-            place = await pool.take(call, anyio.current_time())
+            place = await pool.acquire(call, anyio.current_time())
         except RequestError as exc:
             return "refused", exc.retry_after or 0.0
         send, receive = anyio.create_memory_object_stream[None](100)
@@ -326,7 +326,7 @@
     async def _stream(
         self,
         pool: ServicePool,
-        place: Place,
+        place: Slot,
         receive: MemoryObjectReceiveStream[None],
         events: int,
         arrived: float,
@@ -342,7 +342,7 @@
             if number:
                 in_time = in_time and now - before <= PAUSE
             else:
-                pool.started(place, now - sent_at)
+                pool.record_first_event(place, now - sent_at)
                 in_time = now - arrived <= TARGET
             before = now
         return "in time" if in_time else "late"
--- a/benchmarks/limit_cost.py
+++ b/benchmarks/limit_cost.py
@@ -19,7 +19,7 @@
 from carawayhub.clock import ManualClock
 from carawayhub.gateway.health import Health
 from carawayhub.gateway.loads import Loads, Work, work_key
-from carawayhub.gateway.placement import Chosen
+from carawayhub.gateway.placement import Selection
 from carawayhub.gateway.pool import ServicePool
 from carawayhub.gateway.ports import EndpointPublished, Published, TablePublished
 from carawayhub.gateway.retryshare import RetryShare
@@ -126,7 +126,7 @@
         """Make decisions, each on one request that then ends."""
         needed = work()
         for _ in range(DECISIONS):
-            place = self._pool._place_now(needed)
+            place = self._pool._acquire_now(needed)
             if place is not None:
                 self._pool.release(place)
 
@@ -137,7 +137,7 @@
             works = {work_key(each): Work(1, 0, 900) for each in listed}
             for each in self._rng.sample(listed, CHANGED):
                 works[work_key(each)] = Work(2, at, 1800)
-            self._loads.heard(self.tellers[0], works)
+            self._loads.update_peer(self.tellers[0], works)
             self._pool._may_claim()
 
     def tell(self) -> list[RateRow]:
@@ -182,10 +182,10 @@
 
 def _unchecked(
     self: ServiceLimits,
-    pick: Callable[[Set[str]], Chosen | None],
+    pick: Callable[[Set[str]], Selection | None],
     tried: Set[str],
     wanted: float,
-) -> Chosen | None:
+) -> Selection | None:
     return pick(tried)
 
 
--- a/carawayhub/gateway/app.py
+++ b/carawayhub/gateway/app.py
@@ -12,7 +12,7 @@
 from carawayhub.errors import RequestError
 from carawayhub.gateway.answer import CallerAnswer
 from carawayhub.gateway.calls import Admitted, CallerRequest, CallerWire
-from carawayhub.gateway.desk import Desk
+from carawayhub.gateway.desk import AdmissionControl
 from carawayhub.gateway.model import CallerLimits
 from carawayhub.gateway.relay import GatewayRelay
 from carawayhub.gateway.tally import Tally
@@ -49,7 +49,7 @@
         self,
         clock: Clock,
         wire: CallerWire,
-        desk: Desk,
+        desk: AdmissionControl,
         relay: GatewayRelay,
         limits: Callable[[], CallerLimits],
         tally: Tally,
--- a/carawayhub/gateway/desk.py
+++ b/carawayhub/gateway/desk.py
@@ -1,4 +1,4 @@
-"""Whether a request may be served at all: its route, its key and the age of what is known."""
+"""Admits requests by their route, their key and the age of the fleet view."""
 
 import random
 
@@ -11,30 +11,30 @@
 from carawayhub.gateway.view import FleetView
 from carawayhub.limits.fingerprint import fingerprint
 
-AGE_MARGIN = 0.4
-"""Seconds by which a view is held to be too old before keys that were taken away must be: it covers
-the way of a request from here to its endpoint."""
+VIEW_AGE_MARGIN_SECONDS = 0.4
+"""Time before the revocation bound at which a view is considered too old. It covers the transfer of
+a request from this entry to its endpoint."""
 
-RETURN_GAP = 0.15
-"""Seconds by which a caller's patience must be shorter than the longest seen on its route for the
-request to count as one that was refused before and came back."""
+RETURN_GAP_SECONDS = 0.15
+"""Time by which a caller's timeout must be shorter than the longest received on its route for the
+request to count as a retry after a refusal."""
 
-ELSEWHERE_SECONDS = 0.03
-"""Seconds after which a caller comes back whose request this entry cannot take but others can: it
-connects to another one, and its answer can still be in time."""
+OTHER_ENTRY_RETRY_SECONDS = 0.03
+"""Retry time for a caller whose request this entry cannot accept but others can: the caller
+connects to another entry, and its answer can still be in time."""
 
 
-class Desk:
-    """Admits requests.
+class AdmissionControl:
+    """Checks the route and key of requests.
 
     Args:
-        view: What is known of the fleet.
+        view: The view of the fleet.
         clock: Source of time.
-        rng: Draws the service of routes that are shared by several.
-        revoke_after: Seconds after which a key that was taken away must open nothing.
+        rng: Selects a service for routes with several.
+        revoke_after: Seconds after which a revoked key must no longer be accepted.
     """
 
-    __slots__ = ("_clock", "_longest", "_most_age", "_rng", "_view")
+    __slots__ = ("_clock", "_longest_waits", "_max_view_age", "_rng", "_view")
 
     def __init__(
         self, view: FleetView, clock: Clock, rng: random.Random, revoke_after: float
@@ -42,18 +42,18 @@
         self._view = view
         self._clock = clock
         self._rng = rng
-        self._most_age = revoke_after - AGE_MARGIN
-        self._longest: dict[str, float] = {}
+        self._max_view_age = revoke_after - VIEW_AGE_MARGIN_SECONDS
+        self._longest_waits: dict[str, float] = {}
 
     def admit(self, req: CallerRequest, arrived_at: float) -> Admitted:
-        """Return the request with its route, service and times.
+        """Return the request with its route, service and time limits.
 
         Raises:
             RequestError: NOT_READY, NOT_SERVED, KEY_UNKNOWN, DEADLINE_PASSED.
         """
         table = self._view.table
         if table is None:
-            raise RequestError(Code.NOT_READY, retry_after=ELSEWHERE_SECONDS)
+            raise RequestError(Code.NOT_READY, retry_after=OTHER_ENTRY_RETRY_SECONDS)
         route = table.match(req.host, req.path)
         if route is None:
             raise RequestError(Code.NOT_SERVED, f"{req.host}{req.path}")
@@ -63,11 +63,11 @@
         return Admitted(
             req=req,
             route=route,
-            service=self._draw(route),
+            service=self._draw_service(route),
             organisation=organisation,
             arrived_at=arrived_at,
             ends_at=arrived_at + min(waits, route.timeout),
-            returned=self._is_back(route, waits),
+            returned=self._has_returned(route, waits),
             work=Work(1, req.prompt_tokens, req.prompt_tokens + req.answer_tokens),
             fingerprint=fingerprint(
                 organisation.name if organisation is not None else "",
@@ -84,23 +84,25 @@
     ) -> Organisation | None:
         if route.public or not table.keyed:
             return None
-        if self._view.age > self._most_age:
+        if self._view.age > self._max_view_age:
             raise RequestError(
-                Code.VIEW_TOO_OLD, f"{self._view.age:.1f} s old", retry_after=ELSEWHERE_SECONDS
+                Code.VIEW_TOO_OLD,
+                f"{self._view.age:.1f} s old",
+                retry_after=OTHER_ENTRY_RETRY_SECONDS,
             )
         organisation = table.organisations.get(req.key)
         if organisation is None:
             raise RequestError(Code.KEY_UNKNOWN)
         return organisation
 
-    def _draw(self, route: Route) -> str:
+    def _draw_service(self, route: Route) -> str:
         shares = route.shares
         if len(shares) == 1:
             return shares[0].service
         return self._rng.choices(shares, [each.weight for each in shares])[0].service
 
-    def _is_back(self, route: Route, waits: float) -> bool:
-        """Return whether the caller has waited before: it then has less time left than others."""
-        longest = max(self._longest.get(route.name, 0.0), waits)
-        self._longest[route.name] = longest
-        return waits < longest - RETURN_GAP
+    def _has_returned(self, route: Route, waits: float) -> bool:
+        """Return whether the caller has waited before, and so has less time left than others."""
+        longest = max(self._longest_waits.get(route.name, 0.0), waits)
+        self._longest_waits[route.name] = longest
+        return waits < longest - RETURN_GAP_SECONDS
--- a/carawayhub/gateway/freeplaces.py
+++ b/carawayhub/gateway/freeplaces.py
@@ -1,8 +1,8 @@
-"""How many places of a service's endpoints are free.
+"""Counts the free slots of a service's endpoints.
 
-The load pattern this answers: requests that wait ask for it at each datagram of a peer, and so does
-each request that comes. Added up over all endpoints each time, that was most of what a decision
-cost. Here only what changed since the last look is added up anew.
+The count is needed for each new request and, while requests wait, for each datagram from a peer. A
+sum over all endpoints each time would be most of the cost of a decision, so only endpoints that
+changed since the last call are counted again.
 """
 
 from collections.abc import Sequence
@@ -11,8 +11,8 @@
 from carawayhub.gateway.model import Endpoint
 
 
-class FreePlaces:
-    """The free places of endpoints, as far as is known.
+class FreeSlots:
+    """The known free slots of endpoints.
 
     Args:
         loads: Work in flight.
@@ -27,17 +27,17 @@
         self._places: dict[int, list[int]] = {}
         self._free: dict[int, int] = {}
         self._sum = 0
-        loads.watch(self._note)
+        loads.watch(self._mark_changed)
 
-    def of(self, endpoints: Sequence[Endpoint]) -> int:
-        """Return the free places of endpoints; cheap while they are those of the last call."""
+    def count_free(self, endpoints: Sequence[Endpoint]) -> int:
+        """Return the free slots of endpoints; cheap if the sequence is that of the last call."""
         if endpoints is not self._endpoints:
-            self._begin_anew(endpoints)
+            self._rebuild(endpoints)
         while self._changed:
-            self._count(self._changed.pop())
+            self._recount(self._changed.pop())
         return self._sum
 
-    def _begin_anew(self, endpoints: Sequence[Endpoint]) -> None:
+    def _rebuild(self, endpoints: Sequence[Endpoint]) -> None:
         self._endpoints = endpoints
         self._places = {}
         for each in endpoints:
@@ -46,12 +46,12 @@
         self._sum = 0
         self._changed = set(self._places)
 
-    def _note(self, key: int) -> None:
-        # Those of other services, and of endpoints that are gone, would pile up for ever.
+    def _mark_changed(self, key: int) -> None:
+        # Keys of other services and of removed endpoints would accumulate without bound.
         if key in self._places:
             self._changed.add(key)
 
-    def _count(self, key: int) -> None:
+    def _recount(self, key: int) -> None:
         requests = self._loads.requests(key)
         free = sum(max(0, each - requests) for each in self._places[key])
         self._sum += free - self._free.get(key, 0)
--- a/carawayhub/gateway/gossip.py
+++ b/carawayhub/gateway/gossip.py
@@ -18,7 +18,7 @@
 from carawayhub.gateway.hello import Datagram, Digest, Heard, Hello, News, PeerEntry, Phase, WorkRow
 from carawayhub.gateway.loads import Loads, Work
 from carawayhub.gateway.peers import Peers
-from carawayhub.gateway.retryshare import LONE_PART
+from carawayhub.gateway.retryshare import DEFAULT_SHARE
 from carawayhub.gateway.telling import INTERVAL, OTHERS, OwnPlace, OwnState, Part, Teller
 from carawayhub.limits.poison import PoisonRecords
 from carawayhub.limits.poisonnews import PoisonNews
@@ -147,7 +147,7 @@
         if not self._peers and not self._seeds:
             return 1.0
         if not self.settled_entries():
-            return LONE_PART
+            return DEFAULT_SHARE
         return self._peers.part_heard(self._clock.monotonic())
 
     def add_seeds(self, seeds: frozenset[str]) -> None:
@@ -271,7 +271,7 @@
         self._look_at_part()
 
     def _take_from(self, teller: str, rows: Sequence[WorkRow], refusing: list[str]) -> None:
-        self._loads.heard(
+        self._loads.update_peer(
             teller, {row.key: Work(row.requests, row.reading, row.tokens) for row in rows}
         )
         self._told_at[teller] = self._clock.monotonic()
@@ -323,11 +323,11 @@
             return
         logger.bind(part=part.value, entries=len(self._peers) + 1).info("part in the exchange")
         self._teller.part = part
-        for teller in self._loads.tellers():
+        for teller in self._loads.peers():
             self._forget_teller(teller)
 
     def _forget_teller(self, teller: str) -> None:
-        self._loads.forget(teller)
+        self._loads.remove_peer(teller)
         self._told_at.pop(teller, None)
         self.own.told_refusing.pop(teller, None)
 
--- a/carawayhub/gateway/health.py
+++ b/carawayhub/gateway/health.py
@@ -1,6 +1,6 @@
-"""What callers' requests have shown of each endpoint: failures, silence and slowness.
+"""Failures, silence and slowness of each endpoint, as observed by callers' requests.
 
-Health checks are not asked: they can be good while requests fail, and the reverse.
+Health checks are not used: they can succeed while requests fail, and the reverse.
 """
 
 import math
@@ -9,31 +9,31 @@
 
 from carawayhub.clock import Clock
 
-ERROR_HALF_LIFE = 2.0
-"""Seconds after which a failure counts half. Faults of endpoints last some seconds."""
+ERROR_HALF_LIFE_SECONDS = 2.0
+"""Half-life of the weight of a failure. Faults of endpoints last some seconds."""
 
 ERROR_WEIGHT = 0.3
-"""Weight of one answer in the share of failures."""
+"""Weight of one answer in the moving average of failures."""
 
-FIRST_BREAK = 0.5
-LAST_BREAK = 4.0
-"""Seconds for which an endpoint that could not be reached gets nothing, at first and at the most.
-The first is short enough that a restarted endpoint is used again at once."""
+MIN_AVOID_SECONDS = 0.5
+MAX_AVOID_SECONDS = 4.0
+"""Initial and maximum time for which an endpoint that could not be reached is avoided. The initial
+time is short enough that a restarted endpoint is used again at once."""
 
-TIME_WEIGHT = 0.2
-"""Weight of one answer in the mean time of answers."""
-
-LEAST_FACTOR = 0.5
-MOST_FACTOR = 8.0
-"""Bounds of the slowness that one endpoint is held to have against the others."""
+ANSWER_TIME_WEIGHT = 0.2
+"""Weight of one answer in the moving average of answer times."""
 
+MIN_SLOWNESS = 0.5
+MAX_SLOWNESS = 8.0
+"""Bounds on the ratio of an endpoint's answer time to the median."""
 
 REFUSING_SECONDS = 0.35
-"""Seconds for which an engine that refused a request gets none. The ranks of a group that forms
-anew after a crash refuse all alike for 0.6 s or more, and being empty each would get the next."""
+"""Time for which an engine that refused a request gets none. After a crash, all ranks of a group
+refuse requests for 0.6 s or more while the group forms, and as empty ranks they would be selected
+for each next request."""
 
-HEARD_REFUSING_SECONDS = 0.2
-"""The same for an engine that refused a request of a peer, from each time that the peer says so."""
+PEER_REFUSING_SECONDS = 0.2
+"""The same for an engine that refused a request of a peer, from each message that reports it."""
 
 
 @dataclass(slots=True)
@@ -42,27 +42,27 @@
     errors_at: float = 0.0
     seconds: float = 0.0
     avoided_until: float = field(default=-math.inf)
-    pause: float = FIRST_BREAK
+    pause: float = MIN_AVOID_SECONDS
     refusing_until: float = field(default=-math.inf)
-    refused_here_until: float = field(default=-math.inf)
+    refused_locally_until: float = field(default=-math.inf)
 
 
 class Health:
-    """The record of each endpoint.
+    """Health record of each endpoint.
 
     Args:
         clock: Source of time.
     """
 
-    __slots__ = ("_clock", "_records", "_shut_until")
+    __slots__ = ("_clock", "_records", "_blocked_until")
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._records: dict[str, _Record] = {}
-        self._shut_until = -math.inf
+        self._blocked_until = -math.inf
 
     def answered(self, endpoint_id: str, seconds: float, *, ok: bool) -> None:
-        """Note an answer, good or not, and the time to it."""
+        """Record an answer, whether it is a success, and the time to it."""
         record = self._record(endpoint_id)
         now = self._clock.monotonic()
         share = self._errors(record, now)
@@ -70,57 +70,57 @@
         record.errors_at = now
         if not ok:
             return
-        record.pause = FIRST_BREAK
+        record.pause = MIN_AVOID_SECONDS
         record.avoided_until = -math.inf
-        record.refusing_until = record.refused_here_until = -math.inf
-        weight = TIME_WEIGHT if record.seconds else 1.0
+        record.refusing_until = record.refused_locally_until = -math.inf
+        weight = ANSWER_TIME_WEIGHT if record.seconds else 1.0
         record.seconds += weight * (seconds - record.seconds)
 
     def unreachable(self, endpoint_id: str) -> None:
-        """Note that an endpoint could not be reached or went silent, and avoid it for a while."""
+        """Avoid an endpoint that could not be reached or went silent, with exponential backoff."""
         record = self._record(endpoint_id)
         now = self._clock.monotonic()
         record.avoided_until = now + record.pause
-        self._shut_until = max(self._shut_until, record.avoided_until)
-        record.pause = min(record.pause * 2, LAST_BREAK)
+        self._blocked_until = max(self._blocked_until, record.avoided_until)
+        record.pause = min(record.pause * 2, MAX_AVOID_SECONDS)
 
     def refused(self, endpoint_id: str) -> None:
-        """Note that an endpoint refused a request of this entry without running it."""
+        """Record that an endpoint refused a request of this entry without running it."""
         record = self._record(endpoint_id)
-        record.refused_here_until = self._clock.monotonic() + REFUSING_SECONDS
-        record.refusing_until = max(record.refusing_until, record.refused_here_until)
-        self._shut_until = max(self._shut_until, record.refusing_until)
+        record.refused_locally_until = self._clock.monotonic() + REFUSING_SECONDS
+        record.refusing_until = max(record.refusing_until, record.refused_locally_until)
+        self._blocked_until = max(self._blocked_until, record.refusing_until)
 
-    def heard_refusing(self, endpoint_ids: Iterable[str]) -> None:
-        """Note which endpoints refuse requests of a peer."""
-        until = self._clock.monotonic() + HEARD_REFUSING_SECONDS
+    def peer_refused(self, endpoint_ids: Iterable[str]) -> None:
+        """Record endpoints that refuse requests of a peer."""
+        until = self._clock.monotonic() + PEER_REFUSING_SECONDS
         for each in endpoint_ids:
             record = self._record(each)
             record.refusing_until = max(record.refusing_until, until)
-        self._shut_until = max(self._shut_until, until)
+        self._blocked_until = max(self._blocked_until, until)
 
-    def take_again(self, endpoint_ids: Iterable[str]) -> None:
-        """Forget that endpoints refused requests."""
+    def clear_refusals(self, endpoint_ids: Iterable[str]) -> None:
+        """Discard the recorded refusals of endpoints."""
         for each in endpoint_ids:
             record = self._record(each)
-            record.refusing_until = record.refused_here_until = -math.inf
+            record.refusing_until = record.refused_locally_until = -math.inf
 
-    def refused_here(self) -> list[str]:
-        """Return the endpoints that have just refused requests of this entry."""
+    def refused_locally(self) -> list[str]:
+        """Return the endpoints that recently refused requests of this entry."""
         now = self._clock.monotonic()
-        return [name for name, each in self._records.items() if each.refused_here_until > now]
+        return [name for name, each in self._records.items() if each.refused_locally_until > now]
 
-    def all_open(self) -> bool:
-        """Return whether no endpoint refuses or is avoided, so that none need be asked for."""
-        return self._clock.monotonic() >= self._shut_until
+    def all_available(self) -> bool:
+        """Return whether no endpoint refuses or is avoided, so that none need be checked."""
+        return self._clock.monotonic() >= self._blocked_until
 
     def refusing(self, endpoint_id: str) -> bool:
-        """Return whether an endpoint has just refused a request."""
+        """Return whether an endpoint recently refused a request."""
         record = self._records.get(endpoint_id)
         return record is not None and record.refusing_until > self._clock.monotonic()
 
     def avoided(self, endpoint_id: str) -> bool:
-        """Return whether an endpoint is to get nothing now."""
+        """Return whether an endpoint is avoided after a failed connection or silence."""
         record = self._records.get(endpoint_id)
         return record is not None and record.avoided_until > self._clock.monotonic()
 
@@ -130,11 +130,11 @@
         return 0.0 if record is None else self._errors(record, self._clock.monotonic())
 
     def seconds(self, endpoint_id: str) -> float:
-        """Return the mean time of answers, 0 where none came yet."""
+        """Return the mean answer time, 0 if there was no answer yet."""
         record = self._records.get(endpoint_id)
         return 0.0 if record is None else record.seconds
 
-    def forget(self, keep: frozenset[str]) -> None:
+    def retain(self, keep: frozenset[str]) -> None:
         """Drop the records of endpoints that are not in ``keep``."""
         self._records = {name: each for name, each in self._records.items() if name in keep}
 
@@ -142,4 +142,4 @@
         return self._records.setdefault(endpoint_id, _Record())
 
     def _errors(self, record: _Record, now: float) -> float:
-        return record.errors * 0.5 ** ((now - record.errors_at) / ERROR_HALF_LIFE)
+        return record.errors * 0.5 ** ((now - record.errors_at) / ERROR_HALF_LIFE_SECONDS)
--- a/carawayhub/gateway/line.py
+++ b/carawayhub/gateway/line.py
@@ -1,9 +1,8 @@
-"""The line in which requests wait for a place at an endpoint, and when they are turned away.
+"""The queue in which requests wait for a slot at an endpoint, and when they are rejected.
 
-The load pattern this answers: more requests than the endpoints can serve in time, for seconds on
-end. Were all of them to wait, all would be late; so only those wait that can still be in time, and
-the others are told at once when to come back, while they have time left to do so. Who comes back is
-late in any case and takes what those leave.
+Handles an overload that lasts for seconds. If all requests waited, all would be late; so only those
+that can still be in time are queued. The others are rejected at once with a retry time, while they
+have time left for a retry. Requests that return are late in any case and get the remaining slots.
 """
 
 import heapq
@@ -15,74 +14,71 @@
 from carawayhub.clock import Clock
 
 RATE_SAMPLES = 48
-"""Ends of requests from which the rate of free places is taken: about two seconds of one entry."""
+"""Number of completed requests from which the rate of free slots is computed: about two seconds of
+one entry."""
 
-RATE_SECONDS = 3.0
-"""Ends older than this say nothing of the present rate."""
+RATE_WINDOW_SECONDS = 3.0
+"""Age in seconds beyond which a completed request no longer counts towards the rate."""
 
-LEAST_PATIENCE = 0.05
-"""Seconds that a request may wait though nothing can be in time: one pass of an engine, so that a
-place that is just becoming free is not missed."""
+MIN_WAIT_SECONDS = 0.05
+"""Minimum wait of a queued request, even if it can no longer be in time: one engine pass, so that a
+slot that is just becoming free is not missed."""
 
-RETURNED_PATIENCE = 0.1
-"""Part of its remaining time that a request waits which was refused before. Its answer is late in
-any case; a second refusal would leave its caller with nothing. It waits behind those that can be in
-time: while more come than can be served, each place that it gets makes one of them late or
-refused. With it going first, 0.2 of its time and nobody let wait beyond the expected time, 6% of
-callers were in time at twice what can be served and 12% where demand moves every 3.7 s; with this
-order, a tenth and one that may always wait, 29% and 22%, as many being served
-(``benchmarks.group_load``)."""
+RETURNED_WAIT_RATIO = 0.1
+"""Fraction of its remaining time that a request waits if it was refused before. Its answer is late
+in any case, and a second refusal would leave its caller without one. It waits behind requests that
+can be in time: under overload, each slot that it gets makes one of them late or refused. See
+``benchmarks.group_load``."""
 
-RETRY_PART = 0.3
-"""Part of the caller's remaining time within which it is asked to come back: callers follow a time
-of up to a third of it."""
+MAX_RETRY_AFTER_RATIO = 0.3
+"""Maximum retry time as a fraction of the caller's remaining time: callers follow a retry time of
+up to a third of it."""
 
-UNKNOWN_RATE_SECONDS = 0.75
-"""Longest time after which a caller is asked to come back while no request has ended for a while:
-the entry or the engines are just starting, or stand still for the second that a group takes to form
-again. Half of what callers would follow made them come back two seconds after all was well."""
+UNKNOWN_RATE_RETRY_SECONDS = 0.75
+"""Maximum retry time while no request has completed for a while: the entry or the engines are just
+starting, or are stalled for the second that a group takes to form again. With half of the time that
+callers would follow, they would return two seconds after the recovery."""
 
-SPREAD = 0.5
-"""Part of the time to come back that is drawn at random, so that callers do not return at once."""
+RETRY_JITTER_RATIO = 0.5
+"""Randomised fraction of the retry time, so that callers do not all return at the same time."""
 
-
-AWAY_SPREAD = 0.3
-"""Seconds over which callers come back to endpoints that were all away."""
+OUTAGE_JITTER_SECONDS = 0.3
+"""Seconds over which retries are spread after all endpoints were unavailable."""
 
 
 @dataclass(slots=True, order=True)
 class Waiter:
-    """A request in the line; the least of two goes first.
+    """A queued request; the lesser of two is served first.
 
     Attributes:
-        rank: Urgency, 0 first.
-        returned: Whether it was refused before; one that comes for the first time goes before it.
-        arrived_at: When it came.
-        leaves_at: When it is turned away.
-        wake: Called when it has a place (True) or is turned away (False).
-        gone: Whether its caller has left or it was woken.
+        rank: Priority, 0 is the highest.
+        returned: Whether it was refused before; first attempts are served before it.
+        arrived_at: When it arrived.
+        expires_at: When it is rejected.
+        notify: Called with True when it has a slot, with False when it is rejected.
+        gone: Whether its caller has left or it was notified.
     """
 
     rank: int
     returned: bool
     arrived_at: float
-    leaves_at: float = field(compare=False)
-    wake: Callable[[bool], None] = field(compare=False)
+    expires_at: float = field(compare=False)
+    notify: Callable[[bool], None] = field(compare=False)
     gone: bool = field(default=False, compare=False)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Wish:
-    """What a request hopes for when it joins the line.
+class Requirements:
+    """Priority and time limits of a request that joins the queue.
 
     Attributes:
-        rank: Urgency, 0 first.
+        rank: Priority, 0 is the highest.
         returned: Whether it was refused before.
-        patience: Seconds that it can wait and still be in time; negative if it cannot be.
+        patience: Seconds that it can wait and still be in time; negative if it will be late.
         left: Seconds until its caller gives up.
-        longest: Seconds after which it would wait in vain, since its caller listens to silence.
-        reopening: Seconds within which endpoints are expected to take requests again that refuse
-            all of them now, 0 where they do not.
+        longest: Maximum wait in seconds; after it, the caller's silence timeout would be exceeded.
+        recovery_wait: Seconds within which endpoints that refuse all requests are expected to
+            accept them again, 0 if they do not refuse all.
     """
 
     rank: int
@@ -90,15 +86,15 @@
     patience: float
     left: float
     longest: float
-    reopening: float = 0.0
+    recovery_wait: float = 0.0
 
 
-class Line:
+class RequestQueue:
     """Requests that wait for the endpoints of one service.
 
     Args:
         clock: Source of time.
-        rng: Spreads the times at which callers come back.
+        rng: Randomises retry times.
     """
 
     __slots__ = ("_clock", "_ends", "_heap", "_rng")
@@ -113,94 +109,103 @@
         return len(self._heap)
 
     def ended(self) -> None:
-        """Note that a request of this entry ended, which freed a place."""
+        """Record that a request of this entry ended and freed a slot."""
         self._ends.append(self._clock.monotonic())
 
     def rate(self) -> float:
-        """Return how many places come free a second, as seen by this entry."""
+        """Return the slots that become free per second, as observed by this entry."""
         now = self._clock.monotonic()
-        recent = [each for each in self._ends if now - each <= RATE_SECONDS]
+        recent = [each for each in self._ends if now - each <= RATE_WINDOW_SECONDS]
         if not recent:
             return 0.0
-        return len(recent) / max(now - recent[0], RATE_SECONDS / RATE_SAMPLES)
+        return len(recent) / max(now - recent[0], RATE_WINDOW_SECONDS / RATE_SAMPLES)
 
     def expected_wait(self, rank: int, *, returned: bool) -> float:
-        """Return the seconds until a request that joins now would have a place."""
+        """Return the expected seconds until a request that joins now has a slot."""
         rate = self.rate()
-        return (self._ahead(rank, returned=returned) + 1) / rate if rate > 0 else float("inf")
-
-    def join(self, wish: Wish, wake: Callable[[bool], None]) -> Waiter | None:
-        """Let a request wait, or return None where it would wait in vain."""
-        patience = self._patience(wish)
-        if not wish.reopening and (self._heap or self._ends) and self._in_vain(wish, patience):
+        return (self._count_ahead(rank, returned=returned) + 1) / rate if rate > 0 else float("inf")
+
+    def join(self, requirements: Requirements, notify: Callable[[bool], None]) -> Waiter | None:
+        """Queue a request, or return None if it is not expected to get a slot in time."""
+        patience = self._max_wait(requirements)
+        if (
+            not requirements.recovery_wait
+            and (self._heap or self._ends)
+            and self._is_futile(requirements, patience)
+        ):
             return None
         now = self._clock.monotonic()
-        leaves_at = now + min(patience, wish.longest)
-        waiter = Waiter(wish.rank, wish.returned, now, leaves_at, wake)
+        expires_at = now + min(patience, requirements.longest)
+        waiter = Waiter(requirements.rank, requirements.returned, now, expires_at, notify)
         heapq.heappush(self._heap, waiter)
         return waiter
 
-    def _in_vain(self, wish: Wish, patience: float) -> bool:
-        """Return whether more wait already than places are expected to come free in time.
+    def _is_futile(self, requirements: Requirements, patience: float) -> bool:
+        """Return whether more requests wait than slots are expected to become free in time.
 
-        One may always wait. Places come free at random: with one expected a little later than the
-        request can wait, one comes in time in six cases of ten. Entries with four ends a second
-        turned all away who did not find a free place at once, with nobody in line.
+        One request may always wait. Slots become free at random: if the next is expected slightly
+        later than the request can wait, one is free in time in six cases of ten. Without this rule,
+        an entry with four completions a second would reject every request that does not find a
+        free slot at once, even with an empty queue.
         """
-        ahead = self._ahead(wish.rank, returned=wish.returned)
+        ahead = self._count_ahead(requirements.rank, returned=requirements.returned)
         return ahead >= max(1.0, self.rate() * patience)
 
-    def _ahead(self, rank: int, *, returned: bool) -> int:
+    def _count_ahead(self, rank: int, *, returned: bool) -> int:
         mine = (rank, returned)
         return sum(1 for each in self._heap if not each.gone and (each.rank, each.returned) <= mine)
 
     def leave(self, waiter: Waiter) -> None:
-        """Take a request off the line whose caller has left or whose time has passed."""
+        """Remove a request whose caller has left or whose time has expired."""
         waiter.gone = True
-        self._trim()
+        self._drop_gone()
 
     def first(self) -> Waiter | None:
-        """Return the request that is next to get a place, None where nobody waits."""
+        """Return the next request to serve, or None if the queue is empty."""
         now = self._clock.monotonic()
-        self._trim()
-        while self._heap and self._heap[0].leaves_at <= now:
+        self._drop_gone()
+        while self._heap and self._heap[0].expires_at <= now:
             waiter = heapq.heappop(self._heap)
             waiter.gone = True
-            waiter.wake(False)
-            self._trim()
+            waiter.notify(False)
+            self._drop_gone()
         return self._heap[0] if self._heap else None
 
     def serve(self, waiter: Waiter) -> None:
-        """Take the first request off the line and tell it that it has a place."""
+        """Remove the first request and notify it that it has a slot."""
         heapq.heappop(self._heap)
         waiter.gone = True
-        waiter.wake(True)
+        waiter.notify(True)
 
     def retry_after(self, left: float, away: float | None = None) -> float:
-        """Return the seconds after which a refused caller should come back.
+        """Return the seconds after which a refused caller should retry.
 
-        Long enough for those who wait to be served, spread so that callers do not return together,
-        and within what they follow.
+        The time is long enough to serve the requests in the queue, randomised so that callers do
+        not return together, and no longer than callers follow.
 
         Args:
             left: Seconds that the caller has left.
-            away: Seconds for which nothing can be served, None where something can.
+            away: Seconds for which nothing can be served, None if requests can be served now.
         """
         rate = self.rate()
-        most = left * RETRY_PART
+        most = left * MAX_RETRY_AFTER_RATIO
         if away is not None:
-            return min(most, away + self._rng.uniform(0.0, AWAY_SPREAD))
+            return min(most, away + self._rng.uniform(0.0, OUTAGE_JITTER_SECONDS))
         if rate <= 0:
-            most = min(most, UNKNOWN_RATE_SECONDS)
+            most = min(most, UNKNOWN_RATE_RETRY_SECONDS)
         backlog = len(self._heap) / rate if rate > 0 else most
-        least = min(backlog, most * (1.0 - SPREAD))
+        least = min(backlog, most * (1.0 - RETRY_JITTER_RATIO))
         return self._rng.uniform(least, max(least, most))
 
-    def _patience(self, wish: Wish) -> float:
-        if wish.returned:
-            return max(LEAST_PATIENCE, wish.reopening, wish.left * RETURNED_PATIENCE)
-        return max(LEAST_PATIENCE, wish.reopening, wish.patience)
+    def _max_wait(self, requirements: Requirements) -> float:
+        if requirements.returned:
+            return max(
+                MIN_WAIT_SECONDS,
+                requirements.recovery_wait,
+                requirements.left * RETURNED_WAIT_RATIO,
+            )
+        return max(MIN_WAIT_SECONDS, requirements.recovery_wait, requirements.patience)
 
-    def _trim(self) -> None:
+    def _drop_gone(self) -> None:
         while self._heap and self._heap[0].gone:
             heapq.heappop(self._heap)
--- a/carawayhub/gateway/loads.py
+++ b/carawayhub/gateway/loads.py
@@ -1,8 +1,8 @@
-"""Who works on what: requests in flight at each endpoint, of this entry and of its peers.
+"""Requests in flight at each endpoint, from this entry and from its peers.
 
-Endpoints report their load late, and what they report counts the same for every entry, so all would
-send to the same one. An entry knows its own requests exactly and hears of its peers' several times
-a second; together they show each endpoint's load before it reports it.
+Endpoints report their load late, and every entry would see the same report and choose the same
+endpoint. An entry knows its own requests exactly and receives those of its peers several times a
+second; their sum shows an endpoint's load before the endpoint reports it.
 """
 
 import zlib
@@ -10,16 +10,16 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-KEYS_KEPT = 16_384
-"""Endpoints whose keys are kept at hand: three times those of the largest fleet planned for."""
+KEY_CACHE_SIZE = 16_384
+"""Number of cached endpoint keys: three times the endpoints of the largest supported fleet."""
 
 
-@lru_cache(maxsize=KEYS_KEPT)
+@lru_cache(maxsize=KEY_CACHE_SIZE)
 def work_key(endpoint_id: str) -> int:
-    """Return the number that stands for an endpoint among entries: four bytes for thirteen.
+    """Return the key of an endpoint in messages between entries: 4 bytes instead of a 13-byte id.
 
-    Of 5,400 endpoints two share a number with a chance of 0.3%; each is then held to have the
-    load of both.
+    Of 5,400 endpoints, two share a key with a probability of 0.3%; each then counts the load of
+    both.
     """
     return zlib.crc32(endpoint_id.encode())
 
@@ -29,9 +29,9 @@
     """Work in flight at one endpoint.
 
     Attributes:
-        requests: Requests that were sent and not answered in full.
-        reading: Prompt tokens of those whose first event has not come.
-        tokens: Tokens, of prompt and expected answer, that they hold in memory.
+        requests: Requests that were sent and not yet answered completely.
+        reading: Prompt tokens of requests whose first event has not been received.
+        tokens: Tokens of prompt and expected answer that the requests hold in memory.
     """
 
     requests: int = 0
@@ -39,16 +39,16 @@
     tokens: int = 0
 
     def add(self, other: "Work", sign: int) -> None:
-        """Add ``other``, or take it away where ``sign`` is -1."""
+        """Add ``other``, or subtract it if ``sign`` is -1."""
         self.requests += sign * other.requests
         self.reading += sign * other.reading
         self.tokens += sign * other.tokens
 
 
-IDLE = Work()
+NO_WORK = Work()
 
-Works = Mapping[int, Work]
-"""Work by the keys of endpoints."""
+WorkByKey = Mapping[int, Work]
+"""Work in flight by endpoint key."""
 
 
 class Loads:
@@ -63,92 +63,92 @@
         self._total: dict[int, Work] = {}
 
     def begin(self, endpoint_id: str, work: Work) -> None:
-        """Count work that goes to an endpoint."""
+        """Add work that is sent to an endpoint."""
         key = work_key(endpoint_id)
         self._own.setdefault(key, Work()).add(work, 1)
         self._total.setdefault(key, Work()).add(work, 1)
-        self._changed(key)
+        self._notify(key)
 
     def watch(self, on_change: Callable[[int], None]) -> None:
         """Call ``on_change`` with the key of each endpoint whose requests change from now on."""
         self._watchers.append(on_change)
 
-    def _changed(self, key: int) -> None:
+    def _notify(self, key: int) -> None:
         for on_change in self._watchers:
             on_change(key)
 
-    def has_read(self, endpoint_id: str, tokens: int) -> None:
-        """Note that an endpoint has read a prompt."""
+    def mark_prompt_read(self, endpoint_id: str, tokens: int) -> None:
+        """Record that an endpoint has processed a prompt."""
         read = Work(reading=tokens)
         key = work_key(endpoint_id)
         self._own[key].add(read, -1)
         self._total[key].add(read, -1)
 
     def end(self, endpoint_id: str, work: Work) -> None:
-        """Take work that has ended off the count."""
+        """Subtract work that has ended."""
         key = work_key(endpoint_id)
-        _take_off(self._own, key, work)
-        _take_off(self._total, key, work)
-        self._changed(key)
-
-    def heard(self, teller: str, works: Works) -> None:
-        """Put what is told of work in place of what the same teller said before."""
-        before = self._peers.get(teller, {})
-        self._peers[teller] = dict(works)
+        _subtract(self._own, key, work)
+        _subtract(self._total, key, work)
+        self._notify(key)
+
+    def update_peer(self, peer: str, works: WorkByKey) -> None:
+        """Replace the work that a peer reported before."""
+        before = self._peers.get(peer, {})
+        self._peers[peer] = dict(works)
         for key, work in works.items():
-            if work != (known := before.pop(key, IDLE)):
-                self._move(key, known, work)
+            if work != (known := before.pop(key, NO_WORK)):
+                self._replace(key, known, work)
         for key, work in before.items():
-            self._move(key, work, IDLE)
+            self._replace(key, work, NO_WORK)
 
-    def _move(self, key: int, before: Work, now: Work) -> None:
-        """Put one work in place of another in the total of an endpoint."""
+    def _replace(self, key: int, before: Work, now: Work) -> None:
+        """Replace a part of the total work of an endpoint."""
         total = self._total.setdefault(key, Work())
         total.add(now, 1)
-        _take_off(self._total, key, before)
-        self._changed(key)
+        _subtract(self._total, key, before)
+        self._notify(key)
 
-    def forget(self, teller: str) -> None:
-        """Drop what was told: a peer that is gone has no requests any more."""
-        self.heard(teller, {})
-        del self._peers[teller]
+    def remove_peer(self, peer: str) -> None:
+        """Drop the work of a peer that is gone and has no requests any more."""
+        self.update_peer(peer, {})
+        del self._peers[peer]
 
-    def tellers(self) -> list[str]:
-        """Return who told of work."""
+    def peers(self) -> list[str]:
+        """Return the peers that reported work."""
         return list(self._peers)
 
-    def own(self) -> Works:
+    def own(self) -> WorkByKey:
         """Return the work of this entry."""
         return self._own
 
     def total(self, endpoint_id: str) -> Work:
         """Return all known work at an endpoint."""
-        return self._total.get(work_key(endpoint_id), IDLE)
+        return self._total.get(work_key(endpoint_id), NO_WORK)
 
     def requests(self, key: int) -> int:
-        """Return the requests known to be in flight at the endpoint that a key stands for."""
-        return self._total.get(key, IDLE).requests
+        """Return the known number of requests in flight at the endpoint with this key."""
+        return self._total.get(key, NO_WORK).requests
 
-    def of(self, tellers: Iterable[str]) -> Works:
-        """Return the work of this entry and of some tellers together."""
+    def combined(self, peers: Iterable[str]) -> WorkByKey:
+        """Return the sum of the work of this entry and of some peers."""
         found: dict[int, Work] = {}
-        for works in (self._own, *(self._peers.get(each, {}) for each in tellers)):
+        for works in (self._own, *(self._peers.get(each, {}) for each in peers)):
             for key, work in works.items():
                 found.setdefault(key, Work()).add(work, 1)
         return found
 
-    def without(self, teller: str) -> Works:
-        """Return all known work but what one teller told."""
+    def excluding(self, peer: str) -> WorkByKey:
+        """Return all known work except that of one peer."""
         left = dict(self._total)
-        for key, work in self._peers.get(teller, {}).items():
-            total = left.get(key, IDLE)
+        for key, work in self._peers.get(peer, {}).items():
+            total = left.get(key, NO_WORK)
             rest = Work(total.requests, total.reading, total.tokens)
             rest.add(work, -1)
             left[key] = rest
         return {key: work for key, work in left.items() if work.requests > 0}
 
 
-def _take_off(works: dict[int, Work], key: int, work: Work) -> None:
+def _subtract(works: dict[int, Work], key: int, work: Work) -> None:
     found = works.get(key)
     if found is None:
         return
--- a/carawayhub/gateway/outage.py
+++ b/carawayhub/gateway/outage.py
@@ -1,9 +1,9 @@
-"""How long a service without any group that stands will be away.
+"""Predicts how long a service without an available group will be unavailable.
 
-The load pattern this answers: a group that serves alone loses a rank every few seconds. Callers
-were asked back within 0.75 s, twice, and had no further try when the group stood again after four.
-They follow a time of up to a third of what they have left; told when the group is expected, most of
-them come back to one that stands, or wait for it.
+Handles a service with one group that loses a rank every few seconds. Callers that are asked to
+retry within 0.75 s use up both retries before the group is available again after 4 s. Callers
+follow a retry time of up to a third of their remaining time; given the expected time of recovery,
+most of them return to an available group or wait for it.
 """
 
 from dataclasses import dataclass
@@ -11,33 +11,33 @@
 from carawayhub.clock import Clock
 
 FORM_SECONDS = 1.0
-"""Seconds that a group takes to form with all its ranks there, before one was seen to."""
+"""Initial estimate of the time that a group takes to form once it has all its ranks."""
 
-WEIGHT = 0.5
-"""Weight of the latest outage in the mean of their lengths, which change with their causes."""
+OUTAGE_WEIGHT = 0.5
+"""Weight of the latest outage in the mean duration, which changes with the causes of outages."""
 
-LONGER_PART = 0.5
-"""Part of the time that an outage has lasted for which it is expected to last on, once it is longer
-than usual or none was seen before."""
+EXTENSION_RATIO = 0.5
+"""Expected remaining time of an outage as a fraction of its duration so far, once it is longer than
+expected."""
 
-LEAST_LEFT = 0.1
-"""Seconds that a group needs at the least until a request could begin."""
+MIN_LEFT_SECONDS = 0.1
+"""Minimum time until a group can accept a request."""
 
-UNKNOWN_LEFT = 2.5
-"""Seconds expected of the first outage: a process that crashed takes some to be back."""
+FIRST_OUTAGE_SECONDS = 2.5
+"""Expected duration of the first outage, covering the restart of a crashed process."""
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """What is known of the groups of a service at one moment.
+class OutageState:
+    """Availability of the groups of a service at one moment.
 
     Attributes:
-        stands: Whether some group stands, or the service has no groups.
-        complete: Whether some group that does not stand has all its ranks.
+        available: Whether some group is available, or the service has no groups.
+        forming: Whether some unavailable group has all its ranks.
     """
 
-    stands: bool
-    complete: bool
+    available: bool
+    forming: bool
 
 
 class Outage:
@@ -47,55 +47,55 @@
         clock: Source of time.
 
     Attributes:
-        usual: Mean length of those so far, the latest ones counting most; None before the first.
+        usual: Mean duration so far, weighted towards recent outages; None before the first.
     """
 
-    __slots__ = ("_clock", "_complete_since", "_form_seconds", "_since", "usual")
+    __slots__ = ("_clock", "_forming_since", "_form_seconds", "_since", "usual")
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._since: float | None = None
-        self._complete_since: float | None = None
+        self._forming_since: float | None = None
         self.usual: float | None = None
         self._form_seconds = FORM_SECONDS
 
-    def look(self, seen: Seen) -> None:
-        """Take in what is known now."""
+    def update(self, state: OutageState) -> None:
+        """Start, update or end the outage according to ``state``."""
         now = self._clock.monotonic()
-        if seen.stands:
+        if state.available:
             self._end(now)
             return
         if self._since is None:
             self._since = now
-        if not seen.complete:
-            self._complete_since = None
-        elif self._complete_since is None:
-            self._complete_since = now
+        if not state.forming:
+            self._forming_since = None
+        elif self._forming_since is None:
+            self._forming_since = now
 
     def left(self) -> float | None:
-        """Return the seconds for which the outage will last on, None where there is none."""
+        """Return the expected remaining seconds of the outage, or None if there is none."""
         if self._since is None:
             return None
         now = self._clock.monotonic()
-        if self._complete_since is not None:
-            return _rest(self._form_seconds, now - self._complete_since)
-        usual = UNKNOWN_LEFT if self.usual is None else self.usual
-        return _rest(usual, now - self._since)
+        if self._forming_since is not None:
+            return _remaining(self._form_seconds, now - self._forming_since)
+        usual = FIRST_OUTAGE_SECONDS if self.usual is None else self.usual
+        return _remaining(usual, now - self._since)
 
     def _end(self, now: float) -> None:
         if self._since is None:
             return
         lasted = now - self._since
         self.usual = lasted if self.usual is None else _mean(self.usual, lasted)
-        if self._complete_since is not None:
-            self._form_seconds = _mean(self._form_seconds, now - self._complete_since)
-        self._since = self._complete_since = None
+        if self._forming_since is not None:
+            self._form_seconds = _mean(self._form_seconds, now - self._forming_since)
+        self._since = self._forming_since = None
 
 
-def _rest(usual: float, elapsed: float) -> float:
+def _remaining(usual: float, elapsed: float) -> float:
     left = usual - elapsed
-    return left if left > LEAST_LEFT else max(LEAST_LEFT, LONGER_PART * elapsed)
+    return left if left > MIN_LEFT_SECONDS else max(MIN_LEFT_SECONDS, EXTENSION_RATIO * elapsed)
 
 
 def _mean(before: float, latest: float) -> float:
-    return before + WEIGHT * (latest - before)
+    return before + OUTAGE_WEIGHT * (latest - before)
--- a/carawayhub/gateway/placement.py
+++ b/carawayhub/gateway/placement.py
@@ -1,31 +1,31 @@
-"""Which endpoint gets a request.
+"""Selects the endpoint for a request.
 
 The ranks of a lock-step group execute each pass together and wait for the slowest, so a rank with
-twice the requests slows the streams of all. The load pattern this answers: many short streams over
-equal ranks, at 40 to 100 in 100 of their places. Ranks are so filled evenly: first by requests in
-flight, then by prompt tokens that they still have to read.
+twice the requests slows down the streams of all. The expected load is many short streams over equal
+ranks, with 40 to 100% of their slots in use. Ranks are therefore filled evenly: first by requests
+in flight, then by prompt tokens still to be processed.
 """
 
 import random
 from collections.abc import Sequence, Set
 from dataclasses import dataclass
 
-from carawayhub.gateway.health import LEAST_FACTOR, MOST_FACTOR, Health
+from carawayhub.gateway.health import MAX_SLOWNESS, MIN_SLOWNESS, Health
 from carawayhub.gateway.loads import Loads, Work
 from carawayhub.gateway.model import Endpoint
 
-ERROR_PRICE = 6.0
-"""How much fuller an endpoint that fails every request counts: it is all but left out, and still
-gets some work while the others are busy, which shows when it has recovered."""
+ERROR_PENALTY = 6.0
+"""Added relative load of an endpoint that fails every request. It is rarely selected, but still
+gets some requests while the others are busy, which shows when it has recovered."""
 
 
 @dataclass(frozen=True, slots=True)
-class Chosen:
-    """An endpoint for a request.
+class Selection:
+    """An endpoint selected for a request.
 
     Attributes:
-        endpoint: It.
-        free: Whether it has a free place as far as is known.
+        endpoint: The endpoint.
+        free: Whether it is known to have a free slot.
     """
 
     endpoint: Endpoint
@@ -33,12 +33,12 @@
 
 
 class Placement:
-    """Chooses endpoints.
+    """Selects endpoints by load and health.
 
     Args:
         loads: Work in flight.
-        health: What requests showed of endpoints.
-        rng: Breaks ties, so that entries that know the same do not all choose the same.
+        health: Failures, refusals and answer times of endpoints.
+        rng: Breaks ties, so that entries with the same information do not all choose alike.
     """
 
     __slots__ = ("_health", "_loads", "_rng")
@@ -55,36 +55,36 @@
         kv_tokens: int,
         tried: Set[str],
         sample: int = 0,
-    ) -> Chosen | None:
-        """Return the endpoint that ``work`` goes to, None where there is none.
+    ) -> Selection | None:
+        """Return the endpoint for ``work``, or None if there is none.
 
         Args:
             endpoints: Endpoints of the service that may get work.
-            work: What the request will need.
-            kv_tokens: Tokens that an endpoint's memory holds, 0 where that does not matter.
-            tried: Endpoints that have failed the request, or may not get it.
-            sample: Endpoints from which one is chosen, drawn at random; 0 for all.
+            work: Work that the request causes.
+            kv_tokens: Token capacity of an endpoint's memory, 0 if unlimited.
+            tried: Ids of endpoints that have failed the request or may not get it.
+            sample: Number of endpoints drawn at random to choose from; 0 for all.
         """
-        sound = self._sound(endpoints, tried)
-        if not sound:
+        usable = self._usable(endpoints, tried)
+        if not usable:
             return None
-        usual = self._usual_seconds(sound) if kv_tokens == 0 else 0.0
-        drawn = self._rng.sample(sound, sample) if 0 < sample < len(sound) else sound
-        best = min(drawn, key=lambda each: self._cost(each, work, kv_tokens, usual))
-        if not self.is_free(best, work, kv_tokens) and len(drawn) < len(sound):
-            best = min(sound, key=lambda each: self._cost(each, work, kv_tokens, usual))
-        return Chosen(best, self.is_free(best, work, kv_tokens))
-
-    def _sound(self, endpoints: Sequence[Endpoint], tried: Set[str]) -> Sequence[Endpoint]:
-        """Return the endpoints that may get a request, without those to avoid where others are."""
+        usual = self._median_seconds(usable) if kv_tokens == 0 else 0.0
+        sampled = self._rng.sample(usable, sample) if 0 < sample < len(usable) else usable
+        best = min(sampled, key=lambda each: self._cost(each, work, kv_tokens, usual))
+        if not self.is_free(best, work, kv_tokens) and len(sampled) < len(usable):
+            best = min(usable, key=lambda each: self._cost(each, work, kv_tokens, usual))
+        return Selection(best, self.is_free(best, work, kv_tokens))
+
+    def _usable(self, endpoints: Sequence[Endpoint], tried: Set[str]) -> Sequence[Endpoint]:
+        """Return the endpoints that may get a request, avoided ones only if there are no others."""
         left = [each for each in endpoints if each.id not in tried] if tried else endpoints
-        if self._health.all_open():
+        if self._health.all_available():
             return left
-        open_ones = [each for each in left if not self._health.refusing(each.id)]
-        return [each for each in open_ones if not self._health.avoided(each.id)] or open_ones
+        accepting = [each for each in left if not self._health.refusing(each.id)]
+        return [each for each in accepting if not self._health.avoided(each.id)] or accepting
 
     def is_free(self, endpoint: Endpoint, work: Work, kv_tokens: int) -> bool:
-        """Return whether an endpoint has a place and memory for ``work``."""
+        """Return whether an endpoint has a free slot and memory for ``work``."""
         total = self._loads.total(endpoint.id)
         if total.requests >= endpoint.places:
             return False
@@ -97,16 +97,17 @@
         full = (total.requests + 1) / endpoint.places
         if kv_tokens:
             full = max(full, (total.tokens + work.tokens) / kv_tokens)
-        full *= 1.0 + ERROR_PRICE * self._health.errors(endpoint.id)
+        full *= 1.0 + ERROR_PENALTY * self._health.errors(endpoint.id)
         seconds = self._health.seconds(endpoint.id)
         if usual and seconds:
-            full *= min(MOST_FACTOR, max(LEAST_FACTOR, seconds / usual))
+            full *= min(MAX_SLOWNESS, max(MIN_SLOWNESS, seconds / usual))
         return full, total.reading, self._rng.random()
 
-    def _usual_seconds(self, endpoints: Sequence[Endpoint]) -> float:
-        """Return the median time of answers, against which slow endpoints of a service stand out.
+    def _median_seconds(self, endpoints: Sequence[Endpoint]) -> float:
+        """Return the median answer time, the reference for slow endpoints of a service.
 
-        Only for plain services: the answers of lock-step ranks all take the time of the slowest.
+        Used for plain services only: all ranks of a lock-step group answer at the pace of the
+        slowest.
         """
         times = sorted(filter(None, (self._health.seconds(each.id) for each in endpoints)))
         return times[len(times) // 2] if times else 0.0
--- a/carawayhub/gateway/pool.py
+++ b/carawayhub/gateway/pool.py
@@ -1,4 +1,4 @@
-"""Places at the endpoints of each service: who gets one, who waits, who is turned away."""
+"""Grants requests slots at the endpoints of a service, queues them or rejects them."""
 
 import math
 import random
@@ -13,13 +13,13 @@
 from carawayhub.codes import Code
 from carawayhub.errors import RequestError
 from carawayhub.gateway.calls import Admitted
-from carawayhub.gateway.freeplaces import FreePlaces
+from carawayhub.gateway.freeplaces import FreeSlots
 from carawayhub.gateway.health import Health
-from carawayhub.gateway.line import Line, Waiter, Wish
+from carawayhub.gateway.line import RequestQueue, Requirements, Waiter
 from carawayhub.gateway.loads import Loads, Work, work_key
 from carawayhub.gateway.model import Endpoint, Repeat
-from carawayhub.gateway.outage import Outage, Seen
-from carawayhub.gateway.placement import Chosen, Placement
+from carawayhub.gateway.outage import Outage, OutageState
+from carawayhub.gateway.placement import Placement, Selection
 from carawayhub.gateway.refusals import Refusals
 from carawayhub.gateway.retryshare import RetryShare
 from carawayhub.gateway.servicelimits import ServiceLimits
@@ -27,37 +27,35 @@
 from carawayhub.limits.claims import Claims
 from carawayhub.limits.replicarate import ReplicaRates
 
-START_WEIGHT = 0.1
-"""Weight of one request in the mean time from its dispatch to its first event."""
+FIRST_EVENT_WEIGHT = 0.1
+"""Weight of one request in the moving average of the time from dispatch to first event."""
 
+MIN_SAMPLE_SIZE = 2
+"""Minimum number of endpoints to choose from; the better of two keeps loads close."""
 
-LEAST_SAMPLE = 2
-"""Endpoints from which one is chosen at the least; the better of two keeps loads close."""
+SAMPLE_RATIO = 2.0
+"""Factor on the sample size, which is the number of endpoints divided by the number of requests
+that arrive at all entries within one propagation delay. Without sampling, all entries would send
+these requests to the same least loaded endpoint; each entry draws a sample of its own instead."""
 
-SAMPLE_PART = 2.0
-"""Endpoints from which one is chosen, by endpoints over requests that arrive at all entries before
-they hear of each other's choices. All of them would send these to the same endpoint that was the
-least loaded; each from a sample of its own, they do not."""
+RETRY_POLL_SECONDS = 0.05
+"""Interval at which a refused request checks for an endpoint that accepts it: about one engine
+pass."""
 
-
-RETAKE_PAUSE = 0.05
-"""Seconds between two looks at whether an endpoint takes a refused request again: about a pass."""
-
-
-START_SECONDS = 0.7
-"""Seconds that a stream needs from its dispatch to its first event at engines that have just come
-back. One that waited longer than its caller listens to silence, less this, would be read in vain:
-after a loss of power 130 callers left just before their first event."""
+FIRST_EVENT_SECONDS = 0.7
+"""Time that a stream needs from dispatch to first event at engines that have just become available
+again. A stream is not queued longer than its caller's silence timeout minus this time: the caller
+would disconnect just before the first event, after the engine has processed the prompt."""
 
 
 @dataclass(slots=True)
-class Place:
-    """A place at an endpoint that a request holds.
+class Slot:
+    """A slot at an endpoint, held by a request.
 
     Attributes:
         endpoint: The endpoint.
-        work: What the request needs there.
-        read: Whether its prompt has been read.
+        work: Work that the request causes at the endpoint.
+        read: Whether the endpoint has processed the prompt.
     """
 
     endpoint: Endpoint
@@ -66,16 +64,16 @@
 
 
 @dataclass(slots=True)
-class _Turn:
-    """Where a waiting request finds its place.
+class _PendingSlot:
+    """The outcome of a queued request.
 
     Attributes:
-        settled: Set when it has a place or is turned away.
-        place: Its place, None where it is turned away.
+        settled: Set when the request has a slot or is rejected.
+        slot: The slot, None if the request is rejected.
     """
 
     settled: anyio.Event
-    place: Place | None = None
+    slot: Slot | None = None
 
 
 class ServicePool:
@@ -83,40 +81,40 @@
 
     Args:
         name: Name of the service.
-        view: Knows its endpoints.
+        view: Provides the endpoints.
         loads: Work in flight.
-        health: What requests showed of endpoints.
+        health: Failures, refusals and answer times of endpoints.
         clock: Source of time.
-        rng: Source of chance.
-        retries: This entry's part of the service's retry budget.
-        spread: Gives the seconds for which entries choose by the same news, times the entries.
-        news: Gives those seconds alone.
-        rates: Limits that replicas name; this pool's own where None is given.
-        part_heard: Gives the part of all entries that this one hears of.
+        rng: Random number generator.
+        retries: This entry's share of the service's retry budget.
+        fleet_delay: Returns the propagation delay in seconds, multiplied by the number of entries.
+        propagation_delay: Returns the seconds after which entries know of each other's choices.
+        rates: Rate limits announced by replicas; None for a separate set for this pool.
+        known_share: Returns the share of all entries from which this one receives updates.
 
     Attributes:
-        line: Requests that wait.
-        retries: This entry's part of the service's retry budget.
+        queue: Requests that wait for a slot.
+        retries: This entry's share of the service's retry budget.
     """
 
     __slots__ = (
         "_claims",
         "_clock",
-        "_free",
+        "_slot_counts",
         "_limits",
         "_loads",
         "_name",
-        "_news",
+        "_propagation_delay",
         "_health",
         "_outage",
-        "_partly_out",
+        "_partial_outage",
         "_placement",
         "_refusals",
-        "_spread",
-        "_start_seconds",
-        "_turns",
+        "_fleet_delay",
+        "_first_event_seconds",
+        "_pending",
         "_view",
-        "line",
+        "queue",
         "retries",
     )
 
@@ -129,10 +127,10 @@
         clock: Clock,
         rng: random.Random,
         retries: RetryShare,
-        spread: Callable[[], float] = lambda: 0.0,
-        news: Callable[[], float] = lambda: 0.0,
+        fleet_delay: Callable[[], float] = lambda: 0.0,
+        propagation_delay: Callable[[], float] = lambda: 0.0,
         rates: ReplicaRates | None = None,
-        part_heard: Callable[[], float] = lambda: 1.0,
+        known_share: Callable[[], float] = lambda: 1.0,
     ) -> None:
         self._name = name
         self._view = view
@@ -141,55 +139,57 @@
         self._health = health
         self._refusals = Refusals(clock)
         self._outage = Outage(clock)
-        self._partly_out = Outage(clock)
+        self._partial_outage = Outage(clock)
         self._claims = Claims(clock, rng)
-        self._news = news
+        self._propagation_delay = propagation_delay
         self._placement = Placement(loads, health, rng)
-        self._free = FreePlaces(loads)
-        self._spread = spread
-        self._start_seconds = 0.0
-        self._turns: dict[int, tuple[_Turn, Work]] = {}
-        self.line = Line(clock, rng)
+        self._slot_counts = FreeSlots(loads)
+        self._fleet_delay = fleet_delay
+        self._first_event_seconds = 0.0
+        self._pending: dict[int, tuple[_PendingSlot, Work]] = {}
+        self.queue = RequestQueue(clock, rng)
         self.retries = retries
         rates = rates or ReplicaRates(clock, rng, work_key)
-        self._limits = ServiceLimits(name, rates, retries.rate, spread, news, part_heard)
+        self._limits = ServiceLimits(
+            name, rates, retries.rate, fleet_delay, propagation_delay, known_share
+        )
 
     @property
     def held_back(self) -> int:
-        """Times that a request did not go to an endpoint because of its limit."""
+        """Number of times that an endpoint was skipped because of its rate limit."""
         return self._limits.held_back
 
-    async def take(self, call: Admitted, now: float) -> Place:
-        """Return a place for a request, at once or when one is free.
+    async def acquire(self, call: Admitted, now: float) -> Slot:
+        """Return a slot for a request, waiting in the queue if none is free.
 
         Raises:
             RequestError: NO_ENDPOINT, OVERLOADED.
         """
-        place = self._place_now(call.work)
-        if place is not None:
-            return place
+        slot = self._acquire_now(call.work)
+        if slot is not None:
+            return slot
         return await self._wait(call, now)
 
-    def retake(self, call: Admitted, tried: Set[str]) -> Place | None:
-        """Return a place for another attempt, None where no other endpoint is left.
+    def acquire_for_retry(self, call: Admitted, tried: Set[str]) -> Slot | None:
+        """Return a slot for another attempt, or None if no other endpoint is left.
 
-        It does not wait in line again: its caller has waited once.
+        The request is not queued again: its caller has already waited once.
         """
         chosen = self._choose(call.work, tried)
         return None if chosen is None else self._begin(chosen.endpoint, call.work)
 
-    async def retake_later(self, call: Admitted, only: Set[str] | None) -> Place | None:
-        """Return a place for a request that was refused, once its endpoints take requests again.
+    async def wait_for_retry(self, call: Admitted, only: Set[str] | None) -> Slot | None:
+        """Return a slot for a refused request once its endpoints accept requests again.
 
         Args:
             call: The request.
-            only: Endpoints that it may be sent to, None for any.
+            only: Ids of the endpoints that it may be sent to, None for any.
 
         Returns:
-            The place, None where there is none in time.
+            The slot, or None if there is none in time.
         """
         now = self._clock.monotonic()
-        longest = self._retake_wait(_longest_wait(call, now))
+        longest = self._retry_wait(_longest_wait(call, now))
         if longest <= 0.0:
             return None
         logger.bind(
@@ -197,76 +197,76 @@
             service=self._name,
             longest=round(longest, 3),
             endpoints=len(self._endpoints(only)),
-        ).info("refused, waits for endpoints that take requests again")
+        ).info("request refused; waiting for endpoints to accept requests again")
         ends_at = now + longest
-        while self._clock.monotonic() < ends_at and self._may_return(only):
+        while self._clock.monotonic() < ends_at and self._may_recover(only):
             chosen = self._choose(call.work, frozenset(), only)
             if chosen is not None and chosen.free:
                 return self._begin(chosen.endpoint, call.work)
-            await anyio.sleep(RETAKE_PAUSE)
+            await anyio.sleep(RETRY_POLL_SECONDS)
         return None
 
-    def _retake_wait(self, longest: float) -> float:
-        """Return for how long a refused request waits for its endpoints, 0 for not at all."""
+    def _retry_wait(self, longest: float) -> float:
+        """Return the seconds that a refused request waits for its endpoints, 0 for no wait."""
         away = self._outage.left()
         if away is None:
             return min(self._refusals.wait_left(), longest)
         return longest if away <= longest else 0.0
 
-    def _may_return(self, only: Set[str] | None) -> bool:
+    def _may_recover(self, only: Set[str] | None) -> bool:
         return bool(self._endpoints(only)) or self._outage.left() is not None
 
-    def refused(self, place: Place) -> None:
-        """Note that an endpoint refused a request without running it.
+    def refused(self, slot: Slot) -> None:
+        """Record that an endpoint refused a request without running it.
 
-        A plain service refuses while its queue is full, which lasts some milliseconds; only what
-        engines refuse says something of the next request.
+        Ignored for plain services: they refuse while their queue is full, which lasts a few
+        milliseconds. Only a refusal by an engine predicts the outcome of the next request.
         """
         if not self._kv_tokens():
             return
-        self._health.refused(place.endpoint.id)
+        self._health.refused(slot.endpoint.id)
         if self._refusals.refused():
-            logger.bind(service=self._name, endpoint=place.endpoint.id).warning(
-                "engines refuse all requests, few ask them again"
+            logger.bind(service=self._name, endpoint=slot.endpoint.id).warning(
+                "engines refuse all requests; sending only occasional probes"
             )
 
-    def started(self, place: Place, seconds: float) -> None:
-        """Note the first event of a request, ``seconds`` after it was sent."""
-        weight = START_WEIGHT if self._start_seconds else 1.0
-        self._start_seconds += weight * (seconds - self._start_seconds)
+    def record_first_event(self, slot: Slot, seconds: float) -> None:
+        """Record the first event of a request, ``seconds`` after it was sent."""
+        weight = FIRST_EVENT_WEIGHT if self._first_event_seconds else 1.0
+        self._first_event_seconds += weight * (seconds - self._first_event_seconds)
         if self._refusals.answered():
-            logger.bind(service=self._name, endpoint=place.endpoint.id).info(
-                "engines take requests again"
+            logger.bind(service=self._name, endpoint=slot.endpoint.id).info(
+                "engines accept requests again"
             )
-            self._health.take_again(each.id for each in self._endpoints())
-        if not place.read:
-            place.read = True
-            self._loads.has_read(place.endpoint.id, place.work.reading)
+            self._health.clear_refusals(each.id for each in self._endpoints())
+        if not slot.read:
+            slot.read = True
+            self._loads.mark_prompt_read(slot.endpoint.id, slot.work.reading)
 
-    def release(self, place: Place, *, ran: bool = True) -> None:
-        """Give a place back and hand it to who is next.
+    def release(self, slot: Slot, *, ran: bool = True) -> None:
+        """Release a slot and serve the queue.
 
         Args:
-            place: The place.
-            ran: Whether its request may have run; one that did not says nothing of how fast
-                places come free.
+            slot: The slot.
+            ran: Whether its request may have run; one that did not is left out of the rate at
+                which slots become free.
         """
-        work = place.work
-        left = Work(work.requests, 0 if place.read else work.reading, work.tokens)
-        self._loads.end(place.endpoint.id, left)
+        work = slot.work
+        left = Work(work.requests, 0 if slot.read else work.reading, work.tokens)
+        self._loads.end(slot.endpoint.id, left)
         self._claims.freed()
         if ran:
-            self.line.ended()
-        self.serve_line()
+            self.queue.ended()
+        self.serve_queue()
 
-    def look_at_groups(self) -> None:
-        """See whether some group of the service stands."""
+    def update_outages(self) -> None:
+        """Update the outages from the availability of the service's groups."""
         still = self._view.standing_still(self._name)
-        stands = bool(self._endpoints()) or not still
+        available = bool(self._endpoints()) or not still
         before = self._outage.left()
-        complete = _is_complete(still)
-        self._outage.look(Seen(stands, complete))
-        self._partly_out.look(Seen(not still, complete))
+        forming = _is_about_to_form(still)
+        self._outage.update(OutageState(available, forming))
+        self._partial_outage.update(OutageState(not still, forming))
         after = self._outage.left()
         if (before is None) is not (after is None):
             logger.bind(
@@ -274,39 +274,42 @@
                 expected=None if after is None else round(after, 2),
                 usual=None if self._outage.usual is None else round(self._outage.usual, 2),
                 standing_still=len(still),
-            ).warning("no group stands" if after is not None else "a group stands again")
-
-    def serve_line(self) -> None:
-        """Hand free places to those who wait, in their order."""
-        while (waiter := self.line.first()) is not None:
-            turn, work = self._turns[id(waiter)]
-            place = self._free_place(work)
-            if place is None:
+            ).warning(
+                "no group is available" if after is not None else "a group is available again"
+            )
+
+    def serve_queue(self) -> None:
+        """Assign free slots to queued requests in queue order."""
+        while (waiter := self.queue.first()) is not None:
+            pending, work = self._pending[id(waiter)]
+            slot = self._acquire_free(work)
+            if slot is None:
                 return
-            turn.place = place
-            self.line.serve(waiter)
+            pending.slot = slot
+            self.queue.serve(waiter)
 
-    def refusal(self, call: Admitted, now: float, code: Code) -> RequestError:
-        """Return what a caller is told whose request is not run now."""
+    def rejection(self, call: Admitted, now: float, code: Code) -> RequestError:
+        """Return the error for a request that is not run now, with its retry time."""
         left = max(0.0, call.ends_at - now)
         away = self._outage.left()
         if away is None:
-            away = self._limits.pause(self._endpoints()) or self._group_back(left)
-        return RequestError(code, self._name, retry_after=self.line.retry_after(left, away))
+            away = self._limits.pause(self._endpoints()) or self._group_recovery(left)
+        return RequestError(code, self._name, retry_after=self.queue.retry_after(left, away))
 
-    def _group_back(self, left: float) -> float | None:
-        """Return when a group that stands still is expected, None where none is in time.
+    def _group_recovery(self, left: float) -> float | None:
+        """Return the seconds until a stalled group is expected, or None if not within ``left``.
 
-        The others get more than they can run until then. A caller that comes back in that time goes
-        behind all new ones and is refused for good; with the group it finds free places.
+        Until then the other groups get more requests than they can run. A caller that retries
+        earlier is queued behind all new ones and finally refused; once the group is available, it
+        finds free slots.
         """
-        back = self._partly_out.left()
+        back = self._partial_outage.left()
         return back if back is not None and back <= left else None
 
-    def _place_now(self, work: Work) -> Place | None:
-        return None if len(self.line) else self._free_place(work)
+    def _acquire_now(self, work: Work) -> Slot | None:
+        return None if len(self.queue) else self._acquire_free(work)
 
-    def _free_place(self, work: Work) -> Place | None:
+    def _acquire_free(self, work: Work) -> Slot | None:
         if not self._may_claim():
             return None
         chosen = self._choose(work, frozenset())
@@ -316,103 +319,109 @@
         return self._begin(chosen.endpoint, work)
 
     def _may_claim(self) -> bool:
-        """Return whether a free place of the engines is this entry's to take."""
+        """Return whether this entry may claim a free slot of the engines."""
         if not self._kv_tokens():
             return True
-        return self._claims.may_take(self._free_places(), self._wanted(), self._news())
+        return self._claims.may_take(
+            self._free_slots(), self._expected_arrivals(), self._propagation_delay()
+        )
 
-    def _free_places(self) -> int:
-        """Return the places that are free as far as is known."""
-        return self._free.of(self._limits.to_count_on(self._endpoints()))
+    def _free_slots(self) -> int:
+        """Return the known number of free slots."""
+        return self._slot_counts.count_free(self._limits.counted_endpoints(self._endpoints()))
 
-    def _wanted(self) -> float:
-        """Return the requests that come to all entries before they hear of each other."""
-        return self.retries.rate() * self._spread()
+    def _expected_arrivals(self) -> float:
+        """Return the requests that arrive at all entries within one propagation delay."""
+        return self.retries.rate() * self._fleet_delay()
 
-    def _choose(self, work: Work, tried: Set[str], only: Set[str] | None = None) -> Chosen | None:
+    def _choose(
+        self, work: Work, tried: Set[str], only: Set[str] | None = None
+    ) -> Selection | None:
         if not self._refusals.may_send():
             return None
         endpoints = self._endpoints(only)
-        arrivals = self._wanted()
-        sample = max(LEAST_SAMPLE, math.ceil(SAMPLE_PART * len(endpoints) / max(1.0, arrivals)))
+        arrivals = self._expected_arrivals()
+        sample = max(MIN_SAMPLE_SIZE, math.ceil(SAMPLE_RATIO * len(endpoints) / max(1.0, arrivals)))
         tokens = self._kv_tokens()
 
-        def pick(passed: Set[str]) -> Chosen | None:
-            return self._placement.choose(endpoints, work, tokens, passed, sample)
+        def pick(excluded: Set[str]) -> Selection | None:
+            return self._placement.choose(endpoints, work, tokens, excluded, sample)
 
         return self._limits.choose(pick, tried, arrivals)
 
-    async def _wait(self, call: Admitted, now: float) -> Place:
-        self.look_at_groups()
+    async def _wait(self, call: Admitted, now: float) -> Slot:
+        self.update_outages()
         away = self._outage.left()
         longest = _longest_wait(call, now)
         if not self._endpoints() and (away is None or away > longest):
             self._log_no_endpoint(call, away, longest)
-            raise self.refusal(call, now, Code.NO_ENDPOINT)
-        wish = Wish(
+            raise self.rejection(call, now, Code.NO_ENDPOINT)
+        requirements = Requirements(
             rank=call.priority,
             returned=call.returned,
-            patience=call.arrived_at + call.route.target - now - self._start_seconds,
+            patience=call.arrived_at + call.route.target - now - self._first_event_seconds,
             left=call.ends_at - now,
             longest=longest,
-            reopening=self._reopening(call, away, longest),
+            recovery_wait=self._recovery_wait(call, away, longest),
         )
-        limited = self._limits.expected_wait(self._endpoints(), len(self.line))
-        if limited > min(longest, max(0.0, wish.patience)):
-            self._limits.log_in_vain(call, self._endpoints(), limited, longest)
-            raise self.refusal(call, now, Code.OVERLOADED)
-        turn = _Turn(anyio.Event())
-        waiter = self.line.join(wish, lambda served: turn.settled.set())
+        limited = self._limits.expected_wait(self._endpoints(), len(self.queue))
+        if limited > min(longest, max(0.0, requirements.patience)):
+            self._limits.log_rejection(call, self._endpoints(), limited, longest)
+            raise self.rejection(call, now, Code.OVERLOADED)
+        pending = _PendingSlot(anyio.Event())
+        waiter = self.queue.join(requirements, lambda served: pending.settled.set())
         if waiter is None:
-            self._log_refusal(call, wish)
-            raise self.refusal(call, now, Code.OVERLOADED)
-        self._turns[id(waiter)] = turn, call.work
-        self.serve_line()
+            self._log_rejection(call, requirements)
+            raise self.rejection(call, now, Code.OVERLOADED)
+        self._pending[id(waiter)] = pending, call.work
+        self.serve_queue()
         try:
-            with anyio.move_on_after(max(0.0, waiter.leaves_at - now)):
-                await turn.settled.wait()
+            with anyio.move_on_after(max(0.0, waiter.expires_at - now)):
+                await pending.settled.wait()
         except anyio.get_cancelled_exc_class():
-            if turn.place is not None:
-                self.release(turn.place)
+            if pending.slot is not None:
+                self.release(pending.slot)
             raise
         finally:
             self._leave(waiter)
-        if turn.place is None:
-            raise self.refusal(call, now, Code.OVERLOADED)
-        return turn.place
+        if pending.slot is None:
+            raise self.rejection(call, now, Code.OVERLOADED)
+        return pending.slot
 
-    def _reopening(self, call: Admitted, away: float | None, longest: float) -> float:
-        """Return for how long a request waits for endpoints that take none now, 0 for not at all.
+    def _recovery_wait(self, call: Admitted, away: float | None, longest: float) -> float:
+        """Return the seconds that a request waits for endpoints to recover, 0 for no wait.
 
-        While no group stands, as long as its caller listens: what it then gets is sooner than what
-        it would come back for. So does one that has come back, for a group that is expected while
-        its caller listens: it has no further try.
+        While no group is available, a request waits as long as its caller does: it is then served
+        sooner than after a retry. A returned request also waits that long for a group that is
+        expected in time, since its caller has no further attempt.
         """
         if away is not None:
             return longest
-        back = self._partly_out.left()
+        back = self._partial_outage.left()
         if call.returned and back is not None and back <= longest:
             return longest
         return self._refusals.wait_left() if self._refusals.closed else 0.0
 
     def _leave(self, waiter: Waiter) -> None:
-        self._turns.pop(id(waiter), None)
+        self._pending.pop(id(waiter), None)
         if not waiter.gone:
-            self.line.leave(waiter)
-            self.serve_line()
+            self.queue.leave(waiter)
+            self.serve_queue()
 
-    def _log_refusal(self, call: Admitted, wish: Wish) -> None:
+    def _log_rejection(self, call: Admitted, requirements: Requirements) -> None:
         logger.bind(
             request=call.req.id.decode("latin-1"),
             service=self._name,
-            waiting=len(self.line),
-            places_a_second=round(self.line.rate(), 1),
-            expected=round(self.line.expected_wait(wish.rank, returned=wish.returned), 3),
-            free=self._free_places(),
+            waiting=len(self.queue),
+            places_a_second=round(self.queue.rate(), 1),
+            expected=round(
+                self.queue.expected_wait(requirements.rank, returned=requirements.returned), 3
+            ),
+            free=self._free_slots(),
             limited_pause=round(self._limits.pause(self._endpoints()), 3),
-            patience=round(wish.patience, 3),
-            returned=wish.returned,
-        ).info("turned away, it would wait in vain")
+            patience=round(requirements.patience, 3),
+            returned=requirements.returned,
+        ).info("request rejected: no slot expected in time")
 
     def _log_no_endpoint(self, call: Admitted, away: float | None, longest: float) -> None:
         logger.bind(
@@ -421,13 +430,13 @@
             standing_still=len(self._view.standing_still(self._name)),
             away=None if away is None else round(away, 3),
             longest=round(longest, 3),
-        ).info("turned away, no endpoint can run it while its caller listens")
+        ).info("request rejected: no endpoint available before the caller gives up")
 
-    def _begin(self, endpoint: Endpoint, work: Work) -> Place:
+    def _begin(self, endpoint: Endpoint, work: Work) -> Slot:
         self._refusals.sent()
         self._limits.sent(endpoint)
         self._loads.begin(endpoint.id, work)
-        return Place(endpoint, work)
+        return Slot(endpoint, work)
 
     def _endpoints(self, only: Set[str] | None = None) -> tuple[Endpoint, ...]:
         found = self._view.serving(self._name)
@@ -439,11 +448,11 @@
         return service.engine.kv_tokens if service is not None and service.engine else 0
 
 
-def _is_complete(still: Sequence[Endpoint]) -> bool:
-    """Return whether some group that does not stand has all its ranks: it is about to form.
+def _is_about_to_form(still: Sequence[Endpoint]) -> bool:
+    """Return whether some unavailable group has all its ranks and is about to form.
 
-    Only those count that say themselves that it does not: the entry of a rank that ended stays for
-    some seconds and says what it said before.
+    Only ranks that report their group as not formed are counted: the registration of an ended rank
+    remains for some seconds with its old content.
     """
     seats = [each.seat for each in still if each.seat is not None and not each.seat.formed]
     ranks = Counter((seat.group, seat.size) for seat in seats)
@@ -451,8 +460,8 @@
 
 
 def _longest_wait(call: Admitted, now: float) -> float:
-    """Return for how long a request may wait before its caller gives it up, or would soon."""
+    """Return the seconds that a request may wait before its caller gives up or is about to."""
     left = call.ends_at - now
     if call.route.repeat is not Repeat.STREAM:
         return left
-    return min(left, call.arrived_at + call.route.silence - START_SECONDS - now)
+    return min(left, call.arrived_at + call.route.silence - FIRST_EVENT_SECONDS - now)
--- a/carawayhub/gateway/process.py
+++ b/carawayhub/gateway/process.py
@@ -15,7 +15,7 @@
 from carawayhub.errors import CommandError
 from carawayhub.gateway.app import GatewayApp
 from carawayhub.gateway.calls import CallerWire
-from carawayhub.gateway.desk import Desk
+from carawayhub.gateway.desk import AdmissionControl
 from carawayhub.gateway.directory import ANSWER_SECONDS, EntryDirectory
 from carawayhub.gateway.follower import Follower
 from carawayhub.gateway.freshness import Bounds, read_times
@@ -188,8 +188,8 @@
         self._gossip.on_loads = self._serve_lines
         self._gossip.own.news = self._news
         self._gossip.on_news = self._take_news
-        self._gossip.own.refusing = self._health.refused_here
-        self._gossip.on_refusing = self._health.heard_refusing
+        self._gossip.own.refusing = self._health.refused_locally
+        self._gossip.on_refusing = self._health.peer_refused
         self._directory = EntryDirectory(self._gossip, str(options.callers), rng)
         self._stopping = anyio.Event()
         relay = GatewayRelay(
@@ -206,7 +206,7 @@
                 rates=self._rates,
             )
         )
-        desk = Desk(self._view, clock, rng, options.bounds.revoke_after)
+        desk = AdmissionControl(self._view, clock, rng, options.bounds.revoke_after)
         self._app = GatewayApp(clock, wire, desk, relay, self._limits, self._tally)
 
     def is_ready(self) -> bool:
@@ -317,7 +317,7 @@
         Records of endpoints that are no longer published, and of requests long past.
         """
         published = self._view.ids()
-        self._health.forget(published)
+        self._health.retain(published)
         self._records.forget_old()
         now = self._clock.monotonic()
         if now >= self._forget_limits_at:
@@ -357,12 +357,12 @@
 
     def _serve_lines(self) -> None:
         for pool in self._pools.values():
-            if len(pool.line):
-                pool.serve_line()
+            if len(pool.queue):
+                pool.serve_queue()
 
     def _look_at_groups(self) -> None:
         for pool in self._pools.values():
-            pool.look_at_groups()
+            pool.update_outages()
 
     def _limits_met(self) -> LimitsMet:
         held_back = sum(each.held_back for each in self._pools.values())
--- a/carawayhub/gateway/refusals.py
+++ b/carawayhub/gateway/refusals.py
@@ -1,73 +1,73 @@
-"""Engines that refuse all requests for a moment: how often to ask again, and for how long to wait.
+"""Limits requests to engines that temporarily refuse all of them.
 
-The load pattern this answers: all VMs lose power. Entries are up again half a second before the
-groups of engines, and callers whose streams broke come back in that time with their one further
-try. Sent on at once, each would be refused by as many endpoints as it may go to; so a few ask, and
-the others wait for an answer to these.
+Handles a power loss of all VMs. Entries are up again half a second before the groups of engines,
+and callers whose streams broke use their one retry in that time. If each request were forwarded at
+once, it would be refused by every endpoint that it may be sent to; so a few requests are sent as
+probes, and the others wait for the result.
 """
 
 from carawayhub.clock import Clock
 
-CLOSED_AFTER = 3
-"""Refusals in a row, with no answer between them, after which engines count as closed. One or two
-may be full, or ranks of one group that lost a rank while others serve."""
+CLOSED_AFTER_REFUSALS = 3
+"""Consecutive refusals, with no answer between them, after which engines are considered closed. One
+or two may come from full engines, or from a group that lost a rank while others serve."""
 
-ASK_SECONDS = 0.3
-"""Seconds between two requests by which an entry asks closed engines again: a few in the 0.6 s that
-a group takes to form. Repeated sends have a budget for all entries: 40 of them that sent each
-refused request again after 0.35 s made 826 repeated sends where 593 were allowed."""
+PROBE_INTERVAL_SECONDS = 0.3
+"""Interval between two probe requests of an entry to closed engines: a few in the 0.6 s that a
+group takes to form. Retries have a budget shared by all entries, which 40 entries would exceed if
+each sent every refused request again after 0.35 s."""
 
-WAIT_SECONDS = 1.6
-"""Seconds from the first refusal on for which requests wait for engines that refuse. Groups that
-lost all their ranks are back within that time; what takes longer may take any time."""
+MAX_WAIT_SECONDS = 1.6
+"""Time from the first refusal during which requests wait for refusing engines. Groups that lost all
+their ranks are available again within it; the duration of longer outages is unpredictable."""
 
 
 class Refusals:
-    """The refusals of one service's engines since the last answer.
+    """Refusals by one service's engines since the last answer.
 
     Args:
         clock: Source of time.
     """
 
-    __slots__ = ("_ask_at", "_clock", "_count", "_last", "_since")
+    __slots__ = ("_probe_at", "_clock", "_count", "_last", "_since")
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._count = 0
-        self._since = self._last = self._ask_at = float("-inf")
+        self._since = self._last = self._probe_at = float("-inf")
 
     @property
     def closed(self) -> bool:
-        """Whether engines refuse whatever they get."""
-        return self._count >= CLOSED_AFTER
+        """Whether the engines are considered to refuse all requests."""
+        return self._count >= CLOSED_AFTER_REFUSALS
 
     def refused(self) -> bool:
-        """Note a refusal; return whether engines count as closed from it on."""
+        """Record a refusal; return whether it closes the engines."""
         now = self._clock.monotonic()
-        if not self._count or now - self._last > WAIT_SECONDS:
+        if not self._count or now - self._last > MAX_WAIT_SECONDS:
             self._since = now
             self._count = 0
         self._count += 1
         self._last = now
-        self._ask_at = now + ASK_SECONDS
-        return self._count == CLOSED_AFTER
+        self._probe_at = now + PROBE_INTERVAL_SECONDS
+        return self._count == CLOSED_AFTER_REFUSALS
 
     def answered(self) -> bool:
-        """Note an answer; return whether engines were closed before."""
+        """Record an answer; return whether the engines were closed before."""
         closed = self.closed
         self._count = 0
         return closed
 
     def sent(self) -> None:
-        """Note a request that was sent; to closed engines the next one goes some time later."""
-        self._ask_at = self._clock.monotonic() + ASK_SECONDS
+        """Record a sent request, which delays the next probe of closed engines."""
+        self._probe_at = self._clock.monotonic() + PROBE_INTERVAL_SECONDS
 
     def may_send(self) -> bool:
         """Return whether a request may be sent now."""
-        return not self.closed or self._clock.monotonic() >= self._ask_at
+        return not self.closed or self._clock.monotonic() >= self._probe_at
 
     def wait_left(self) -> float:
-        """Return for how many seconds a request may wait for engines that refuse, 0 for none."""
+        """Return the seconds that a request may wait for refusing engines, 0 for no wait."""
         if not self._count:
             return 0.0
-        return max(0.0, self._since + WAIT_SECONDS - self._clock.monotonic())
+        return max(0.0, self._since + MAX_WAIT_SECONDS - self._clock.monotonic())
--- a/carawayhub/gateway/relay.py
+++ b/carawayhub/gateway/relay.py
@@ -34,7 +34,7 @@
 from carawayhub.gateway.health import Health
 from carawayhub.gateway.loads import Work, work_key
 from carawayhub.gateway.model import Endpoint, Repeat
-from carawayhub.gateway.pool import Place, ServicePool
+from carawayhub.gateway.pool import ServicePool, Slot
 from carawayhub.gateway.view import FleetView
 from carawayhub.limits.replicarate import ReplicaRates
 
@@ -137,7 +137,7 @@
 
     async def _attempts(self, course: _Course, pool: ServicePool) -> None:
         with self._parts.endings.waiting(course.call.fingerprint):
-            place: Place | None = await pool.take(course.call, self._now())
+            place: Slot | None = await pool.acquire(course.call, self._now())
         while place is not None:
             refused = False
             try:
@@ -151,7 +151,7 @@
             place = self._next_place(course, pool) or await self._later_place(course, pool)
         raise self._final(course, pool)
 
-    def _next_place(self, course: _Course, pool: ServicePool) -> Place | None:
+    def _next_place(self, course: _Course, pool: ServicePool) -> Slot | None:
         """Return where the request goes next, None where it must not or cannot go on."""
         call = course.call
         if not self._may_go_on(course):
@@ -162,13 +162,13 @@
             return None
         if course.sends and not pool.retries.spend(self._parts.entries()):
             return None
-        return pool.retake(call, course.tried)
+        return pool.acquire_for_retry(call, course.tried)
 
     def _may_go_on(self, course: _Course) -> bool:
         """Return whether a request may be sent again, for all that endpoints ended under it."""
         return self._parts.endings.may_go_on(course.call.fingerprint, course.sends)
 
-    async def _later_place(self, course: _Course, pool: ServicePool) -> Place | None:
+    async def _later_place(self, course: _Course, pool: ServicePool) -> Slot | None:
         """Return a place for a request that endpoints refused, after a wait for them.
 
         Where it has been sent to as many endpoints as it may be, it goes to one of these again.
@@ -180,7 +180,7 @@
             return None
         full = len(course.sent_to) >= course.call.route.attempts
         with self._parts.endings.waiting(course.call.fingerprint):
-            place = await pool.retake_later(course.call, course.sent_to if full else None)
+            place = await pool.wait_for_retry(course.call, course.sent_to if full else None)
         if place is None:
             return None
         if not pool.retries.spend(self._parts.entries()):
@@ -188,7 +188,7 @@
             return None
         return place
 
-    async def _attempt(self, course: _Course, pool: ServicePool, place: Place) -> None:
+    async def _attempt(self, course: _Course, pool: ServicePool, place: Slot) -> None:
         endpoint = place.endpoint
         course.tried.add(endpoint.id)
         sent_at = self._now()
@@ -222,7 +222,7 @@
             self._parts.health.unreachable(endpoint.id)
             view.rank_ended(endpoint)
 
-    def _note_silence(self, course: _Course, place: Place, sent_at: float) -> None:
+    def _note_silence(self, course: _Course, place: Slot, sent_at: float) -> None:
         """Count an endpoint from which nothing came until the caller left.
 
         An endpoint that takes requests and never answers is the least busy of all, and would get
@@ -239,7 +239,7 @@
         ).info("nothing came until the caller left")
 
     def _note_failure(
-        self, course: _Course, pool: ServicePool, place: Place, exc: RequestError, sent_at: float
+        self, course: _Course, pool: ServicePool, place: Slot, exc: RequestError, sent_at: float
     ) -> None:
         endpoint = place.endpoint
         if exc.code in _LOST:
@@ -259,7 +259,7 @@
         ).info("attempt failed")
 
     async def _exchange(
-        self, course: _Course, pool: ServicePool, place: Place, sent_at: float
+        self, course: _Course, pool: ServicePool, place: Slot, sent_at: float
     ) -> None:
         req = self._upstream_request(course, place)
         async with self._parts.upstream.open(req) as response:
@@ -319,7 +319,7 @@
     async def _whole(
         self,
         course: _Course,
-        place: Place,
+        place: Slot,
         sent_at: float,
         head: AnswerHead,
         response: UpstreamResponse,
@@ -335,7 +335,7 @@
         self,
         course: _Course,
         pool: ServicePool,
-        place: Place,
+        place: Slot,
         sent_at: float,
         head: AnswerHead,
         response: UpstreamResponse,
@@ -348,7 +348,7 @@
                 continue
             if not place.read:
                 seconds = self._now() - sent_at
-                pool.started(place, seconds)
+                pool.record_first_event(place, seconds)
                 self._parts.health.answered(place.endpoint.id, seconds, ok=True)
             if not course.answer.started:
                 await course.answer.start(head.status, head.headers)
@@ -359,7 +359,7 @@
             await course.answer.start(head.status, head.headers)
         await course.answer.end()
 
-    def _upstream_request(self, course: _Course, place: Place) -> UpstreamRequest:
+    def _upstream_request(self, course: _Course, place: Slot) -> UpstreamRequest:
         call, endpoint = course.call, place.endpoint
         now = self._now()
         headers = self._parts.wire.dispatch(
@@ -436,12 +436,12 @@
             return last
         self._parts.endings.check(course.call.fingerprint)
         code = last.code if last is not None else Code.NO_ENDPOINT
-        return pool.refusal(course.call, self._now(), code)
+        return pool.rejection(course.call, self._now(), code)
 
     def _out_of_time(self, course: _Course, pool: ServicePool) -> RequestError:
         if course.sends:
             return RequestError(Code.ANSWER_TIMEOUT, course.call.route.name)
-        return pool.refusal(course.call, self._now(), Code.OVERLOADED)
+        return pool.rejection(course.call, self._now(), Code.OVERLOADED)
 
     def _now(self) -> float:
         return self._parts.clock.monotonic()
--- a/carawayhub/gateway/retryshare.py
+++ b/carawayhub/gateway/retryshare.py
@@ -1,29 +1,29 @@
-"""The part of a service's retry budget that this entry may spend.
+"""The share of a service's retry budget that this entry may spend.
 
-The budget is one for all entries: so many repeated sends in any window. With no shared state, each
-entry spends from its own requests what the ratio allows, and an even part of the fixed extra.
+The budget limits the retries of all entries together in any window. As the entries share no state,
+each spends the ratio of its own requests and an equal share of the fixed extra.
 """
 
 from collections import deque
 
 from carawayhub.clock import Clock
 
-SAFE_PART = 0.8
-"""Part of the budget that is spent; the rest covers entries that have just been replaced, whose
-predecessors' sends still count in the window."""
+SAFETY_FACTOR = 0.8
+"""Fraction of the budget that is spent; the rest covers recently replaced entries, whose
+predecessors' retries still count in the window."""
 
-LONE_PART = 0.01
-"""Part of what all entries may spend together, for an entry that does not know yet how many there
-are: small enough for a hundred that start at once."""
+DEFAULT_SHARE = 0.01
+"""Share of an entry that does not yet know the number of entries: small enough for a hundred that
+start at once."""
 
 
 class RetryShare:
-    """Counts the requests and repeated sends of one service at this entry.
+    """Counts the requests and retries of one service at this entry.
 
     Args:
         clock: Source of time.
-        ratio: Repeated sends for each request.
-        extra: Repeated sends beyond that in one window, over all entries.
+        ratio: Retries allowed per request.
+        extra: Retries allowed beyond that in one window, over all entries.
         window: Length of the window in seconds.
     """
 
@@ -43,20 +43,20 @@
         self._drop_old(self._requests)
 
     def rate(self) -> float:
-        """Return the requests a second of the last window at this entry."""
+        """Return the requests per second at this entry over the last window."""
         self._drop_old(self._requests)
         return len(self._requests) / self._window
 
     def spend(self, entries: int) -> bool:
-        """Take one repeated send from the budget, or return False where it is spent.
+        """Take one retry from the budget, or return False if it is spent.
 
         Args:
-            entries: Most entries that were known at one time, 0 while none was heard.
+            entries: Highest number of entries known at one time, 0 if none is known yet.
         """
         self._drop_old(self._requests)
         self._drop_old(self._repeats)
-        part = 1.0 / entries if entries else LONE_PART
-        allowed = SAFE_PART * (self._ratio * len(self._requests) + self._extra * part)
+        share = 1.0 / entries if entries else DEFAULT_SHARE
+        allowed = SAFETY_FACTOR * (self._ratio * len(self._requests) + self._extra * share)
         if len(self._repeats) + 1 > allowed:
             return False
         self._repeats.append(self._clock.monotonic())
--- a/carawayhub/gateway/servicelimits.py
+++ b/carawayhub/gateway/servicelimits.py
@@ -1,8 +1,8 @@
-"""What the rate limits of a service's endpoints leave to the requests of one entry.
+"""Applies the rate limits announced by a service's endpoints to the requests of one entry.
 
-The load pattern this answers: endpoints in need take a few requests a second, and callers ask for
-more. Each request goes to one that takes it now, or waits while what the limits leave to all who
-wait comes before its caller is gone; the others are told at once.
+Handles overloaded endpoints that accept a few requests per second while callers send more. A
+request goes to an endpoint that accepts it now, or waits if the limits admit it before its caller
+gives up; otherwise it is rejected at once.
 """
 
 from collections.abc import Callable, Sequence, Set
@@ -11,39 +11,40 @@
 
 from carawayhub.gateway.calls import Admitted
 from carawayhub.gateway.model import Endpoint
-from carawayhub.gateway.placement import Chosen
+from carawayhub.gateway.placement import Selection
 from carawayhub.limits.replicarate import ReplicaRates, Surroundings
 
-OVERLOAD = 1.25
-"""Requests of callers over what limited endpoints take from which on waiting is in vain. Up to it
-many still get what others leave by chance."""
+OVERLOAD_RATIO = 1.25
+"""Ratio of callers' requests to the limits of endpoints above which every other entry is assumed to
+have as many waiting requests as this one. Up to it, many still get capacity that others happen to
+leave."""
 
 
 class ServiceLimits:
-    """The limits that endpoints of one service name, as its pool meets them.
+    """Rate limits announced by the endpoints of one service, applied by its pool.
 
     Args:
         service: Name of the service.
-        rates: Limits that replicas name.
-        rate: Gives the requests a second that callers bring to this entry.
-        spread: Gives the seconds for which entries choose by the same news, times the entries.
-        news: Gives those seconds alone.
-        part_heard: Gives the part of all entries that this one hears of.
+        rates: Rate limits announced by replicas.
+        rate: Returns the requests per second that arrive at this entry.
+        fleet_delay: Returns the propagation delay in seconds, multiplied by the number of entries.
+        propagation_delay: Returns the seconds after which entries know of each other's choices.
+        known_share: Returns the share of all entries from which this one receives updates.
 
     Attributes:
-        held_back: Times that a request did not go to an endpoint because of its limit.
+        held_back: Number of times that an endpoint was skipped because of its limit.
     """
 
     __slots__ = (
         "_counted",
-        "_counted_of",
+        "_counted_from",
         "_limited",
-        "_news",
-        "_part_heard",
+        "_propagation_delay",
+        "_known_share",
         "_rate",
         "_rates",
         "_service",
-        "_spread",
+        "_fleet_delay",
         "held_back",
     )
 
@@ -52,98 +53,98 @@
         service: str,
         rates: ReplicaRates,
         rate: Callable[[], float],
-        spread: Callable[[], float],
-        news: Callable[[], float],
-        part_heard: Callable[[], float],
+        fleet_delay: Callable[[], float],
+        propagation_delay: Callable[[], float],
+        known_share: Callable[[], float],
     ) -> None:
         self._service = service
         self._rates = rates
         self._rate = rate
-        self._spread = spread
-        self._news = news
-        self._part_heard = part_heard
+        self._fleet_delay = fleet_delay
+        self._propagation_delay = propagation_delay
+        self._known_share = known_share
         self._limited: Set[int] = frozenset()
-        self._counted_of: Sequence[Endpoint] = ()
+        self._counted_from: Sequence[Endpoint] = ()
         self._counted: Sequence[Endpoint] = ()
         self.held_back = 0
 
     @property
-    def any_named(self) -> bool:
-        """Whether some replica may name a limit: where none does, nothing else need be asked."""
+    def any_limits(self) -> bool:
+        """Whether some replica may have announced a limit; otherwise no check is needed."""
         return self._rates.any_limited
 
-    def to_count_on(self, endpoints: Sequence[Endpoint]) -> Sequence[Endpoint]:
-        """Return the endpoints whose free places count: those with a limit only beside no other."""
-        if not self.any_named:
+    def counted_endpoints(self, endpoints: Sequence[Endpoint]) -> Sequence[Endpoint]:
+        """Return the endpoints to count: those without a limit, or all if each has one."""
+        if not self.any_limits:
             return endpoints
         limited = self._rates.limits().keys()
-        if endpoints is not self._counted_of or limited != self._limited:
-            self._limited, self._counted_of = limited, endpoints
+        if endpoints is not self._counted_from or limited != self._limited:
+            self._limited, self._counted_from = limited, endpoints
             unlimited = [each for each in endpoints if self._rates.limit(each.id) is None]
             self._counted = unlimited or endpoints
         return self._counted
 
     def choose(
-        self, pick: Callable[[Set[str]], Chosen | None], tried: Set[str], wanted: float
-    ) -> Chosen | None:
-        """Return the best endpoint that takes one more request by the limit that it names.
+        self, pick: Callable[[Set[str]], Selection | None], tried: Set[str], arrivals: float
+    ) -> Selection | None:
+        """Return the best endpoint whose limit allows one more request.
 
         Args:
-            pick: Gives the best endpoint beside those named, None where none is left.
-            tried: Endpoints that the request may not go to.
-            wanted: Requests that come to all entries before they hear of each other.
+            pick: Returns the best endpoint except those with the given ids, None if none is left.
+            tried: Ids of endpoints that the request may not go to.
+            arrivals: Requests that arrive at all entries within one propagation delay.
         """
-        if not self.any_named:
+        if not self.any_limits:
             return pick(tried)
-        around = Surroundings(wanted, self._news(), self._part_heard())
-        passed = set(tried)
+        surroundings = Surroundings(arrivals, self._propagation_delay(), self._known_share())
+        excluded = set(tried)
         while True:
-            chosen = pick(passed)
-            if chosen is None or self._rates.may_send(chosen.endpoint.id, around):
+            chosen = pick(excluded)
+            if chosen is None or self._rates.may_send(chosen.endpoint.id, surroundings):
                 return chosen
-            passed.add(chosen.endpoint.id)
+            excluded.add(chosen.endpoint.id)
             self.held_back += 1
 
     def sent(self, endpoint: Endpoint) -> None:
-        """Count a request that goes to an endpoint."""
+        """Count a request that is sent to an endpoint."""
         self._rates.sent(endpoint.id)
 
     def pause(self, endpoints: Sequence[Endpoint]) -> float:
-        """Return the mean seconds between two requests that endpoints take, 0 if they say none.
+        """Return the mean seconds between two requests that the limits allow, 0 if there are none.
 
-        Over those of all entries: the wait of one request is that long at the least.
+        The limits apply to all entries together, so this is the minimum wait of one request.
         """
-        if not self.any_named:
+        if not self.any_limits:
             return 0.0
         return self._rates.wait(each.id for each in endpoints)
 
     def expected_wait(self, endpoints: Sequence[Endpoint], waiting: int) -> float:
-        """Return the seconds that one more request would wait, 0 where no limit holds it up.
+        """Return the seconds that one more request would wait, 0 if no limit delays it.
 
-        Where callers ask for more than the limits allow, as many as here wait at each other entry.
-        What waits in vain at 98 entries would be refused after the time in which its caller could
-        have been served elsewhere.
+        If callers send more than the limits allow, every other entry is assumed to have as many
+        waiting requests as this one. Otherwise a request at one of 98 entries would wait in vain
+        and be refused only after its caller could have been served elsewhere.
 
         Args:
-            endpoints: Those that serve.
-            waiting: Requests that wait at this entry.
+            endpoints: Endpoints that serve requests.
+            waiting: Number of requests that wait at this entry.
         """
         pause = self.pause(endpoints)
         if pause <= 0.0:
             return 0.0
-        news = self._news()
-        entries = self._spread() / news if news > 0 else 1.0
-        overloaded = self._rate() * entries * pause > OVERLOAD
+        propagation_delay = self._propagation_delay()
+        entries = self._fleet_delay() / propagation_delay if propagation_delay > 0 else 1.0
+        overloaded = self._rate() * entries * pause > OVERLOAD_RATIO
         return pause * (waiting + 1.0) * (entries if overloaded else 1.0)
 
-    def log_in_vain(
+    def log_rejection(
         self, call: Admitted, endpoints: Sequence[Endpoint], expected: float, longest: float
     ) -> None:
-        """Say why a request is turned away."""
+        """Log the rejection of a request, with the limits that caused it."""
         logger.bind(
             request=call.req.id.decode("latin-1"),
             service=self._service,
             limits={each.id: self._rates.limit(each.id) for each in endpoints},
             expected=round(expected, 3),
             longest=round(longest, 3),
-        ).info("turned away, all endpoints name limits and none takes it while its caller listens")
+        ).info("request rejected: no endpoint's rate limit admits it before the caller gives up")
--- a/carawayhub/gateway/standing.py
+++ b/carawayhub/gateway/standing.py
@@ -1,7 +1,8 @@
-"""Which lock-step groups can run requests now.
+"""Tracks which lock-step groups can run requests.
 
-All ranks of a group execute each pass together. With one of them lost the others stand still; what
-they get waits for 1.5 s and is refused, until the rank is back and the group has formed anew.
+All ranks of a group execute each pass together. If one is lost, the others are stalled: requests
+sent to them wait for 1.5 s and are refused, until the rank is available again and the group has
+formed anew.
 """
 
 from collections.abc import Iterable
@@ -10,19 +11,19 @@
 from carawayhub.clock import Clock
 from carawayhub.gateway.model import Endpoint, GroupSeat
 
-NOTICE_SECONDS = 2.5
-"""Seconds within which ranks have registered that their group lost one: they notice it after 1.5 s,
-and what they register is known here within tenths of a second. An end that they say nothing of by
-then was none."""
+LOSS_NOTICE_SECONDS = 2.5
+"""Time within which ranks register that their group lost one: they detect it after 1.5 s, and their
+registration is received here within tenths of a second. If none has registered a loss by then, the
+rank is considered not to have ended."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Loss:
-    """A rank that was seen to end.
+class _RankLoss:
+    """The observed end of a rank.
 
     Attributes:
-        epoch: Formation that it ended.
-        until: When it counts no more, unless ranks have registered it.
+        epoch: Epoch of the formation that the loss ended.
+        until: When the loss expires, unless ranks have registered it.
     """
 
     epoch: int
@@ -31,19 +32,19 @@
 
 @dataclass(frozen=True, slots=True)
 class _Formation:
-    """What the ranks of a group say of it.
+    """The newest formation that the ranks of a group report.
 
     Attributes:
-        epoch: The newest formation that one of them names.
-        formed: Whether all that name it say that it takes work.
+        epoch: Its epoch.
+        formed: Whether all ranks that report this epoch also report that it accepts work.
     """
 
     epoch: int
     formed: bool
 
 
-class GroupStanding:
-    """What is known of each group.
+class GroupAvailability:
+    """Availability of each group.
 
     Args:
         clock: Source of time.
@@ -54,10 +55,10 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._formations: dict[str, _Formation] = {}
-        self._losses: dict[str, _Loss] = {}
+        self._losses: dict[str, _RankLoss] = {}
 
-    def take(self, endpoints: Iterable[Endpoint]) -> None:
-        """Take in what endpoints have registered."""
+    def update(self, endpoints: Iterable[Endpoint]) -> None:
+        """Replace the formations by those that endpoints have registered."""
         found: dict[str, _Formation] = {}
         for each in endpoints:
             if each.seat is not None:
@@ -66,17 +67,18 @@
         self._formations = found
 
     def rank_ended(self, seat: GroupSeat) -> None:
-        """Note that a rank ended: its group stands still until it forms anew."""
+        """Record that a rank ended: its group is stalled until it forms anew."""
         known = self._formations.get(seat.group)
         epoch = seat.epoch if known is None else known.epoch
-        until = self._clock.monotonic() + NOTICE_SECONDS
-        self._losses[seat.group] = _Loss(epoch, until)
+        until = self._clock.monotonic() + LOSS_NOTICE_SECONDS
+        self._losses[seat.group] = _RankLoss(epoch, until)
 
-    def stands(self, endpoint: Endpoint) -> bool:
-        """Return whether the group of an endpoint can run requests, as far as is known.
+    def is_available(self, endpoint: Endpoint) -> bool:
+        """Return whether the group of an endpoint is believed to be able to run requests.
 
-        What a rank that ended registered before stays for some seconds and says that all is well;
-        the others of its group know better, and once they have formed anew it is not one of them.
+        The registration of an ended rank remains for some seconds and still reports a formed group.
+        It is overruled by the other ranks of the group and, once they have formed anew, by their
+        newer epoch.
         """
         seat = endpoint.seat
         if seat is None:
@@ -89,12 +91,12 @@
         loss = self._losses.get(seat.group)
         return loss is None or seat.epoch > loss.epoch
 
-    def changes_at(self) -> float:
-        """Return when the next loss counts no more, infinite where there is none."""
+    def next_expiry(self) -> float:
+        """Return when the next loss expires, infinite if there is none."""
         return min((each.until for each in self._losses.values()), default=float("inf"))
 
-    def forget_old(self) -> None:
-        """Drop losses that count no more."""
+    def drop_expired(self) -> None:
+        """Drop expired losses."""
         now = self._clock.monotonic()
         self._losses = {name: each for name, each in self._losses.items() if each.until > now}
 
--- a/carawayhub/gateway/telling.py
+++ b/carawayhub/gateway/telling.py
@@ -25,7 +25,7 @@
     Phase,
     WorkRow,
 )
-from carawayhub.gateway.loads import Loads, Works
+from carawayhub.gateway.loads import Loads, WorkByKey
 from carawayhub.gateway.peers import Peers
 from carawayhub.limits.poisonnews import PoisonNews
 from carawayhub.limits.replicarate import ReplicaRates
@@ -261,7 +261,7 @@
         digest = _raw(
             Digest(
                 members=self._names("", [*(each.row() for each in near), self._own.row()]),
-                works=self._rows(self._loads.of(tellers)),
+                works=self._rows(self._loads.combined(tellers)),
                 refusing=self._refusing(tellers),
                 rates=self._rates.rows(tellers),
             )
@@ -278,7 +278,7 @@
         refusing = self._refusing(self._own.told_refusing)
         told = {}
         for each in self._peers.near():
-            works = self._rows(self._loads.without(each.ip))
+            works = self._rows(self._loads.excluding(each.ip))
             rates = self._rates.rows_without(each.ip)
             digest = _raw(Digest(members=names, works=works, refusing=refusing, rates=rates))
             told[each.ip] = self._datagram(each.ip, hello, digest)
@@ -315,7 +315,7 @@
         ends = self._poison_news.rows_for(ip, run, hello.number) if tells_ends else []
         return msgspec.msgpack.encode(Datagram(run, peer.number, hello.hello, digest, ends))
 
-    def _rows(self, works: Works) -> list[WorkRow]:
+    def _rows(self, works: WorkByKey) -> list[WorkRow]:
         rows = [
             WorkRow(key, work.requests, work.reading, work.tokens) for key, work in works.items()
         ]
--- a/carawayhub/gateway/view.py
+++ b/carawayhub/gateway/view.py
@@ -18,7 +18,7 @@
     Source,
     TablePublished,
 )
-from carawayhub.gateway.standing import GroupStanding
+from carawayhub.gateway.standing import GroupAvailability
 
 LAPSE_GRACE = 2.2
 """Seconds after the return of the store in which entries that lapsed may come back.
@@ -91,7 +91,7 @@
         self._current: dict[str, str] = {}
         self._unreadable: dict[str, int] = {}
         self._past_words: Counter[str] = Counter()
-        self._standing = GroupStanding(clock)
+        self._standing = GroupAvailability(clock)
         self._still: dict[str, tuple[Endpoint, ...]] = {}
         self._lapsed: dict[str, float] = {}
         self._gone: set[str] = set()
@@ -207,7 +207,7 @@
 
     def stands(self, endpoint: Endpoint) -> bool:
         """Return whether the group of an endpoint stands, as far as is known."""
-        return self._standing.stands(endpoint)
+        return self._standing.is_available(endpoint)
 
     def named_by(self, keys: frozenset[int]) -> list[Endpoint]:
         """Return the endpoints for which these keys stand; see ``loads.work_key``."""
@@ -241,8 +241,8 @@
     def _drop_outdated(self) -> None:
         if self._lapsed:
             self._drop_lapsed()
-        if self._standing.changes_at() <= self._clock.monotonic():
-            self._standing.forget_old()
+        if self._standing.next_expiry() <= self._clock.monotonic():
+            self._standing.drop_expired()
             self._rebuild()
 
     def _drop_lapsed(self) -> None:
@@ -370,10 +370,10 @@
         found: dict[str, list[Endpoint]] = {}
         still: dict[str, list[Endpoint]] = {}
         self._superseded = superseded(filter(self._is_named, self._endpoints.values()))
-        self._standing.take(self._endpoints.values())
+        self._standing.update(self._endpoints.values())
         for each in self._endpoints.values():
             if each.state is EndpointState.READY and each.id not in self._superseded:
-                names = found if self._standing.stands(each) else still
+                names = found if self._standing.is_available(each) else still
                 names.setdefault(each.service, []).append(each)
         self._by_service = {name: tuple(each) for name, each in found.items()}
         self._still = {name: tuple(each) for name, each in still.items()}
--- a/tests/broken_entries.py
+++ b/tests/broken_entries.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 from typing import Any
 
-from carawayhub.gateway.desk import Desk
+from carawayhub.gateway.desk import AdmissionControl
 from carawayhub.gateway.follower import Follower
 from carawayhub.gateway.model import EndpointState, Repeat
 from carawayhub.gateway.view import FleetView
@@ -35,9 +35,9 @@
         if self.table is None:
             take(self, table, source)
 
-    admit = Desk.admit
+    admit = AdmissionControl.admit
 
-    def admit_late(self: Desk, req: Any, arrived_at: float) -> Any:
+    def admit_late(self: AdmissionControl, req: Any, arrived_at: float) -> Any:
         view = self._view
         waiting = _WAITING.get(id(view), [])
         while waiting and waiting[0][0] <= time.monotonic():
@@ -45,15 +45,15 @@
         return admit(self, req, arrived_at)
 
     FleetView._take_table = hold  # type: ignore[method-assign]
-    Desk.admit = admit_late  # type: ignore[method-assign]
+    AdmissionControl.admit = admit_late  # type: ignore[method-assign]
 
 
 def _backwards() -> None:
     """Route some requests by the first configuration that the process ever had."""
-    admit = Desk.admit
+    admit = AdmissionControl.admit
     first: list[Any] = []
 
-    def admit_by_any(self: Desk, req: Any, arrived_at: float) -> Any:
+    def admit_by_any(self: AdmissionControl, req: Any, arrived_at: float) -> Any:
         view = self._view
         if not first and view.table is not None:
             first.append(view.table)
@@ -65,7 +65,7 @@
         finally:
             view.table = newest
 
-    Desk.admit = admit_by_any  # type: ignore[method-assign]
+    AdmissionControl.admit = admit_by_any  # type: ignore[method-assign]
 
 
 def _deaf() -> None:
@@ -83,15 +83,15 @@
 
 def _old_keys() -> None:
     """Let in every key that the process ever knew."""
-    organisation = Desk._organisation
+    organisation = AdmissionControl._organisation
     known: dict[str, Any] = {}
 
-    def by_any(self: Desk, table: Any, route: Any, req: Any) -> Any:
+    def by_any(self: AdmissionControl, table: Any, route: Any, req: Any) -> Any:
         known.update(table.organisations)
         table.organisations.update(known)
         return organisation(self, table, route, req)
 
-    Desk._organisation = by_any  # type: ignore[method-assign]
+    AdmissionControl._organisation = by_any  # type: ignore[method-assign]
 
 
 def _runs_twice() -> None:
--- a/tests/test_free_places.py
+++ b/tests/test_free_places.py
@@ -1,36 +1,36 @@
-"""Free places and totals of work that are kept up to date, against the same added up anew."""
+"""Incrementally updated free slots and work totals, compared with sums computed from scratch."""
 
 import random
 import unittest
 
 from carawayhub.clock import ManualClock
-from carawayhub.gateway.freeplaces import FreePlaces
-from carawayhub.gateway.health import LAST_BREAK, REFUSING_SECONDS, Health
+from carawayhub.gateway.freeplaces import FreeSlots
+from carawayhub.gateway.health import MAX_AVOID_SECONDS, REFUSING_SECONDS, Health
 from carawayhub.gateway.loads import Loads, Work, work_key
 from carawayhub.gateway.placement import Placement
 from tests.gateway_world import endpoint
 
 ENDPOINTS = [endpoint(f"i-{at}", places=1 + at % 4) for at in range(30)]
-TELLERS = ("10.0.0.2", "10.0.0.3", "10.0.0.4")
+PEERS = ("10.0.0.2", "10.0.0.3", "10.0.0.4")
 STEPS = 3000
 
 
 class FreePlacesTest(unittest.TestCase):
-    """Requests begin and end here and at peers, endpoints come and go."""
+    """Requests begin and end here and at peers; endpoints are added and removed."""
 
     def setUp(self) -> None:
         self.rng = random.Random(11)
         self.loads = Loads()
-        self.free = FreePlaces(self.loads)
+        self.free = FreeSlots(self.loads)
         self.own: list[tuple[str, Work]] = []
-        self.told: dict[str, dict[int, Work]] = {}
+        self.reported: dict[str, dict[int, Work]] = {}
         self.listed = tuple(ENDPOINTS)
 
     def test_sums_are_those_of_all_endpoints_after_any_history(self) -> None:
-        """An entry took a service for full, or for free, that was not.
+        """Guards against a service that wrongly counts as full or as free.
 
-        A change of the work at an endpoint that is not carried into the sum stays wrong for good:
-        no later look adds everything up again.
+        A change of work that is missing in the sum is never corrected, since no later call
+        computes the sum from scratch.
         """
         for _ in range(STEPS):
             self.change()
@@ -39,12 +39,12 @@
         self.compare()
 
     def test_endpoints_that_are_gone_leave_nothing_behind(self) -> None:
-        """Memory of entries before services whose free places nobody asks for grew for weeks.
+        """Guards against unbounded memory growth for services whose free slots are never queried.
 
-        Each lifetime of an endpoint has a key of its own, and each change of its work was kept
-        until the next question.
+        Each lifetime of an endpoint has a key of its own, and changed keys would be kept until
+        the next query.
         """
-        self.free.of(self.listed)
+        self.free.count_free(self.listed)
         for lifetime in range(1000):
             self.loads.begin(f"gone-{lifetime}", Work(1))
             self.loads.end(f"gone-{lifetime}", Work(1))
@@ -52,7 +52,7 @@
         self.compare()
 
     def change(self) -> None:
-        """Let one thing happen."""
+        """Apply one random change."""
         match self.rng.randrange(8):
             case 0 | 1 | 2:
                 name, work = self.rng.choice(ENDPOINTS).id, self.work()
@@ -61,38 +61,38 @@
             case 3 | 4 if self.own:
                 self.loads.end(*self.own.pop(self.rng.randrange(len(self.own))))
             case 5 | 6:
-                teller = self.rng.choice(TELLERS)
+                peer = self.rng.choice(PEERS)
                 some = self.rng.sample(ENDPOINTS, self.rng.randrange(len(ENDPOINTS)))
-                before = self.told.get(teller, {})
+                before = self.reported.get(peer, {})
                 works = {work_key(each.id): self.work() for each in some}
                 works |= dict(list(before.items())[:5])
-                self.told[teller] = works
-                self.loads.heard(teller, works)
+                self.reported[peer] = works
+                self.loads.update_peer(peer, works)
             case 7:
-                teller = self.rng.choice(TELLERS)
-                self.told.pop(teller, None)
-                self.loads.forget(teller)
+                peer = self.rng.choice(PEERS)
+                self.reported.pop(peer, None)
+                self.loads.remove_peer(peer)
                 self.listed = tuple(self.rng.sample(ENDPOINTS, self.rng.randrange(1, 30)))
 
     def work(self) -> Work:
         return Work(self.rng.randrange(1, 3), self.rng.randrange(500), self.rng.randrange(900))
 
     def compare(self) -> None:
-        """Fail where a sum is not what adding up gives."""
+        """Compare all totals with sums computed from scratch."""
         free = 0
         for each in ENDPOINTS:
             total = Work()
             for name, work in self.own:
                 total.add(work, 1 if name == each.id else 0)
-            for works in self.told.values():
+            for works in self.reported.values():
                 total.add(works.get(work_key(each.id), Work()), 1)
             self.assertEqual(self.loads.total(each.id), total)
             free += max(0, each.places - total.requests) if each in self.listed else 0
-        self.assertEqual(self.free.of(self.listed), free)
+        self.assertEqual(self.free.count_free(self.listed), free)
 
 
 class OpenTest(unittest.TestCase):
-    """Endpoints that refuse or could not be reached, looked for only while there may be some."""
+    """Refusing and unreachable endpoints, which are checked only while there may be some."""
 
     def test_endpoints_are_left_out_for_as_long_as_they_are_shut(self) -> None:
         clock = ManualClock()
@@ -104,14 +104,14 @@
             found = (placement.choose(listed, Work(1), 0, frozenset()) for _ in range(60))
             return {each.endpoint.id for each in found if each is not None}
 
-        self.assertTrue(health.all_open())
+        self.assertTrue(health.all_available())
         health.refused("i-0")
         health.unreachable("i-1")
         self.assertEqual(chosen(), {"i-2"})
         clock.advance(REFUSING_SECONDS)
         self.assertEqual(chosen(), {"i-0", "i-2"})
-        clock.advance(LAST_BREAK)
-        self.assertTrue(health.all_open())
+        clock.advance(MAX_AVOID_SECONDS)
+        self.assertTrue(health.all_available())
         self.assertEqual(chosen(), {"i-0", "i-1", "i-2"})
 
 
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions of an entry that need no network: routes, places, the line, retries, whole events."""
+"""Decisions of an entry without a network: routes, slots, queue, retries, complete events."""
 
 import random
 import unittest
@@ -7,15 +7,15 @@
 from carawayhub.codes import Code
 from carawayhub.errors import RequestError
 from carawayhub.gateway.calls import CallerRequest
-from carawayhub.gateway.desk import AGE_MARGIN, Desk
+from carawayhub.gateway.desk import VIEW_AGE_MARGIN_SECONDS, AdmissionControl
 from carawayhub.gateway.events import WholeEvents
-from carawayhub.gateway.health import FIRST_BREAK, Health
-from carawayhub.gateway.line import Line, Wish
+from carawayhub.gateway.health import MIN_AVOID_SECONDS, Health
+from carawayhub.gateway.line import RequestQueue, Requirements
 from carawayhub.gateway.loads import Loads, Work, work_key
 from carawayhub.gateway.model import Repeat, RouteTable
 from carawayhub.gateway.placement import Placement
 from carawayhub.gateway.ports import Published, TablePublished
-from carawayhub.gateway.refusals import CLOSED_AFTER, WAIT_SECONDS, Refusals
+from carawayhub.gateway.refusals import CLOSED_AFTER_REFUSALS, MAX_WAIT_SECONDS, Refusals
 from carawayhub.gateway.retryshare import RetryShare
 from carawayhub.gateway.view import FleetView
 from tests.gateway_world import KEY, endpoint, route, table, work
@@ -40,7 +40,7 @@
 
 
 class Routes(unittest.TestCase):
-    """Which route a request has."""
+    """Route matching."""
 
     def setUp(self) -> None:
         self.table: RouteTable = table(1, route("/songs/"), route("/songs/new/", service="plain"))
@@ -59,12 +59,12 @@
 
 
 class DeskTest(unittest.TestCase):
-    """Who is admitted."""
+    """Admission of requests."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(50.0)
         self.view = FleetView(self.clock, 1.2)
-        self.desk = Desk(self.view, self.clock, random.Random(1), REVOKE)
+        self.admission = AdmissionControl(self.view, self.clock, random.Random(1), REVOKE)
 
     def publish(self) -> None:
         changes = (TablePublished(table(1, route(), route("/open/", public=True))),)
@@ -73,7 +73,7 @@
 
     def refused(self, req: CallerRequest) -> RequestError:
         with self.assertRaises(RequestError) as caught:
-            self.desk.admit(req, self.clock.monotonic())
+            self.admission.admit(req, self.clock.monotonic())
         return caught.exception
 
     def test_entry_without_configuration_says_503(self) -> None:
@@ -87,28 +87,27 @@
         self.assertEqual(self.refused(request(key="other")).code, Code.KEY_UNKNOWN)
 
     def test_old_view_opens_no_door(self) -> None:
-        """The store turns this entry away while an operator takes a key back.
+        """Guards against accepting a revoked key after the revocation bound.
 
-        The entry cannot know; serving the key's holder after the bound would break the
-        promise to the operator.
+        An entry that cannot read the store does not know that an operator has revoked a key.
         """
         self.publish()
-        self.clock.advance(REVOKE - AGE_MARGIN - 0.01)
-        self.desk.admit(request(), self.clock.monotonic())
+        self.clock.advance(REVOKE - VIEW_AGE_MARGIN_SECONDS - 0.01)
+        self.admission.admit(request(), self.clock.monotonic())
         self.clock.advance(0.02)
         exc = self.refused(request())
         self.assertEqual(exc.code, Code.VIEW_TOO_OLD)
         self.assertLess(exc.retry_after, 0.1)
-        self.desk.admit(request("/open/1", key=""), self.clock.monotonic())
+        self.admission.admit(request("/open/1", key=""), self.clock.monotonic())
 
     def test_caller_with_less_time_than_others_has_come_back(self) -> None:
         self.publish()
-        self.assertFalse(self.desk.admit(request(), 50.0).returned)
-        self.assertTrue(self.desk.admit(request(waits=6.0), 50.0).returned)
+        self.assertFalse(self.admission.admit(request(), 50.0).returned)
+        self.assertTrue(self.admission.admit(request(waits=6.0), 50.0).returned)
 
 
 class Placing(unittest.TestCase):
-    """Which endpoint gets a request."""
+    """Selection of the endpoint for a request."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(10.0)
@@ -121,7 +120,7 @@
         return self.placement.choose(self.endpoints, work(), kv_tokens, tried)
 
     def test_ranks_are_filled_evenly(self) -> None:
-        """Ranks of a group wait for the slowest in each pass.
+        """Guards against uneven load: in each pass, all ranks of a group wait for the slowest.
 
         36 requests must not leave one rank with five and another with one.
         """
@@ -132,9 +131,9 @@
 
     def test_work_of_peers_counts(self) -> None:
         busy = {work_key(each.id): Work(2, 0, 2000) for each in self.endpoints[1:]}
-        self.loads.heard("10.0.0.2", busy)
+        self.loads.update_peer("10.0.0.2", busy)
         self.assertEqual(self.choose().endpoint.id, "i-0")
-        self.loads.forget("10.0.0.2")
+        self.loads.remove_peer("10.0.0.2")
         self.assertEqual(self.loads.total("i-5").requests, 0)
 
     def test_prompts_still_to_be_read_break_ties(self) -> None:
@@ -142,7 +141,7 @@
             self.loads.begin(each.id, work())
         for each in self.endpoints[:-1]:
             self.loads.begin(each.id, work(prompt=2000))
-        self.loads.has_read("i-11", 800)
+        self.loads.mark_prompt_read("i-11", 800)
         self.loads.begin("i-11", work(prompt=100))
         self.assertEqual(self.choose().endpoint.id, "i-11")
 
@@ -162,13 +161,13 @@
         self.health.unreachable("i-0")
         for _ in range(30):
             self.assertNotEqual(self.choose().endpoint.id, "i-0")
-        self.clock.advance(FIRST_BREAK + 0.01)
+        self.clock.advance(MIN_AVOID_SECONDS + 0.01)
         self.assertFalse(self.health.avoided("i-0"))
 
     def test_failing_endpoint_gets_less(self) -> None:
-        """An endpoint fails half of its requests while its health check is good.
+        """An endpoint fails half of its requests while its health check succeeds.
 
-        Callers see the failures, and the entry counts them.
+        The entry counts the failures that callers receive.
         """
         for at in range(6):
             self.health.answered("i-0", 0.02, ok=at % 2 == 0)
@@ -185,27 +184,31 @@
 
 
 class Waiting(unittest.TestCase):
-    """Who waits, who goes first, who is turned away."""
+    """Order of the queue, rejection and retry times."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(10.0)
-        self.line = Line(self.clock, random.Random(5))
+        self.queue = RequestQueue(self.clock, random.Random(5))
         self.served: list[str] = []
 
-    def ends(self, count: int, a_second: float) -> None:
-        """Let requests of this entry end at a rate."""
+    def ends(self, count: int, per_second: float) -> None:
+        """Let requests of this entry end at a constant rate."""
         for _ in range(count):
-            self.clock.advance(1.0 / a_second)
-            self.line.ended()
+            self.clock.advance(1.0 / per_second)
+            self.queue.ended()
 
     def join(self, name: str, *, rank: int = 1, returned: bool = False, patience: float = 0.25):
-        wish = Wish(rank=rank, returned=returned, patience=patience, left=8.0, longest=1.3)
-        return self.line.join(wish, lambda served: self.served.append(name if served else "-"))
+        requirements = Requirements(
+            rank=rank, returned=returned, patience=patience, left=8.0, longest=1.3
+        )
+        return self.queue.join(
+            requirements, lambda served: self.served.append(name if served else "-")
+        )
 
     def test_load_beyond_capacity_keeps_those_in_time_that_are_taken(self) -> None:
-        """Twice as many requests come as places.
+        """Twice as many requests arrive as slots become free.
 
-        If all waited, all would be late after a second; the line takes only those that can
+        If all waited, all would be late after a second; the queue accepts only those that can
         have their first event in time.
         """
         self.ends(20, 20.0)
@@ -217,34 +220,34 @@
             if self.join(name) is not None:
                 arrived[name] = self.clock.monotonic()
             if at % 2:
-                self.line.ended()
-                first = self.line.first()
+                self.queue.ended()
+                first = self.queue.first()
                 if first is not None:
                     before = len(self.served)
-                    self.line.serve(first)
+                    self.queue.serve(first)
                     waits.append(self.clock.monotonic() - arrived[self.served[before]])
         self.assertGreater(len(waits), 90)
         self.assertLess(max(waits), 0.25 + 0.06)
 
     def test_who_is_new_goes_before_who_came_back_and_urgent_ones_before_both(self) -> None:
-        """Twice as many come as can be served, and hardly anybody was answered in time.
+        """Guards against an overload in which hardly any request is answered in time.
 
-        Each place went to a caller that had been refused before and was late in any case, and the
-        one that could have been in time was refused and came back late itself.
+        If returned requests, which are late in any case, were served first, new requests that
+        could be in time would be refused and return late themselves.
         """
         self.ends(20, 100.0)
         self.join("back", returned=True)
         self.join("new")
         self.join("urgent", rank=0)
-        while (first := self.line.first()) is not None:
-            self.line.serve(first)
+        while (first := self.queue.first()) is not None:
+            self.queue.serve(first)
         self.assertEqual(self.served, ["urgent", "new", "back"])
 
     def test_one_may_wait_where_places_come_free_slowly(self) -> None:
-        """Callers were turned away with nobody in line.
+        """Guards against rejecting requests while the queue is empty.
 
-        Four requests of the entry end a second, so the next place is expected in a quarter of a
-        second, a little later than the caller can wait. It comes in time more often than not.
+        Four requests of the entry end per second, so the next slot is expected in a quarter of a
+        second, slightly later than the caller can wait. It is free in time more often than not.
         """
         self.ends(12, 4.0)
         self.assertIsNotNone(self.join("first", patience=0.2))
@@ -254,55 +257,58 @@
         self.ends(20, 100.0)
         waiter = self.join("gone")
         self.join("here")
-        self.line.leave(waiter)
-        self.line.serve(self.line.first())
+        self.queue.leave(waiter)
+        self.queue.serve(self.queue.first())
         self.assertEqual(self.served, ["here"])
 
     def test_who_left_does_not_count_as_ahead(self) -> None:
-        """Callers that left made others be turned away, as if they still waited."""
+        """Guards against rejecting requests because of callers that have left the queue."""
         self.ends(20, 100.0)
         waiters = [self.join(str(at)) for at in range(10)]
         for each in waiters[1:]:
-            self.line.leave(each)
-        self.assertLess(self.line.expected_wait(1, returned=False), 0.03)
+            self.queue.leave(each)
+        self.assertLess(self.queue.expected_wait(1, returned=False), 0.03)
 
     def test_who_waited_too_long_is_told(self) -> None:
         self.ends(20, 100.0)
         self.join("late")
         self.clock.advance(1.0)
-        self.assertIsNone(self.line.first())
+        self.assertIsNone(self.queue.first())
         self.assertEqual(self.served, ["-"])
 
     def test_nobody_waits_longer_than_callers_listen_to_silence(self) -> None:
-        """All VMs come back after a loss of power, and callers leave after two seconds of silence.
+        """Guards against engines that process prompts of callers about to leave.
 
-        Requests that had waited for most of that time were sent all the same, and engines read
-        prompts whose callers were gone a moment later.
+        After a power loss of all VMs, callers leave after two seconds of silence. A request that
+        has waited for most of that time must not be sent.
         """
-        wish = Wish(rank=1, returned=True, patience=0.25, left=8.0, longest=1.3, reopening=1.6)
-        waiter = self.line.join(wish, lambda served: None)
-        self.assertAlmostEqual(waiter.leaves_at - self.clock.monotonic(), 1.3)
+        requirements = Requirements(
+            rank=1, returned=True, patience=0.25, left=8.0, longest=1.3, recovery_wait=1.6
+        )
+        waiter = self.queue.join(requirements, lambda served: None)
+        self.assertAlmostEqual(waiter.expires_at - self.clock.monotonic(), 1.3)
 
     def test_times_to_come_back_are_spread_and_within_what_callers_follow(self) -> None:
-        """A burst is refused. Callers that were all told the same time would return together."""
+        """Guards against refused callers of a burst that all return at the same time."""
         self.ends(20, 20.0)
-        times = [self.line.retry_after(8.0) for _ in range(200)]
+        times = [self.queue.retry_after(8.0) for _ in range(200)]
         self.assertLess(max(times), 8.0 / 3)
         self.assertGreater(max(times) - min(times), 0.8)
 
     def test_who_comes_while_nothing_ends_is_asked_back_soon(self) -> None:
-        """All engines form their group again after a loss of power, which takes a second.
+        """Guards against callers that return long after the service is available again.
 
-        Callers that were told two seconds came back long after it served again.
+        After a power loss, engines take a second to form their group, so a retry time of two
+        seconds would be too long.
         """
-        self.assertLess(max(self.line.retry_after(8.0) for _ in range(100)), 0.8)
+        self.assertLess(max(self.queue.retry_after(8.0) for _ in range(100)), 0.8)
 
 
 class Retries(unittest.TestCase):
-    """The share of the retry budget."""
+    """This entry's share of the retry budget."""
 
     def test_shares_of_all_entries_stay_within_the_budget(self) -> None:
-        """Every endpoint fails at once, and each of six entries wants to repeat every request."""
+        """Every endpoint fails at once, and each of six entries tries to repeat every request."""
         clock = ManualClock(10.0)
         shares = [RetryShare(clock, 0.2, 88.0, 10.0) for _ in range(6)]
         repeats = 0
@@ -319,7 +325,7 @@
         self.assertLessEqual(sum(share.spend(0) for _ in range(88)), 4)
 
     def test_entries_that_start_together_stay_within_the_budget(self) -> None:
-        """47 entries come back from a loss of power and know of no other yet."""
+        """47 entries restart after a power loss and know of no other entry yet."""
         clock = ManualClock(10.0)
         shares = [RetryShare(clock, 0.2, 252.0, 10.0) for _ in range(47)]
         repeats = sum(share.spend(0) for share in shares for _ in range(100))
@@ -327,14 +333,14 @@
 
 
 class ClosedEngines(unittest.TestCase):
-    """Engines that refuse whatever they get, as they do until their group has formed."""
+    """Engines that refuse all requests, as they do until their group has formed."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(10.0)
         self.refusals = Refusals(self.clock)
 
     def close(self) -> None:
-        for _ in range(CLOSED_AFTER):
+        for _ in range(CLOSED_AFTER_REFUSALS):
             self.refusals.refused()
 
     def test_full_engine_closes_nothing(self) -> None:
@@ -345,17 +351,17 @@
         self.assertEqual(self.refusals.wait_left(), 0.0)
 
     def test_few_ask_while_all_refuse(self) -> None:
-        """40 entries that each sent every request on broke the budget of repeated sends."""
+        """Guards against 40 entries that exceed the retry budget by forwarding every request."""
         self.close()
-        asked = 0
+        probes = 0
         for _ in range(100):
             self.clock.advance(0.01)
             if self.refusals.may_send():
-                asked += 1
+                probes += 1
                 self.refusals.sent()
                 self.refusals.refused()
-        self.assertLessEqual(asked, 3)
-        self.assertGreaterEqual(asked, 2)
+        self.assertLessEqual(probes, 3)
+        self.assertGreaterEqual(probes, 2)
 
     def test_first_answer_opens_for_all(self) -> None:
         self.close()
@@ -366,7 +372,7 @@
 
     def test_nobody_waits_for_engines_that_stay_closed(self) -> None:
         self.close()
-        self.assertGreater(self.refusals.wait_left(), WAIT_SECONDS - 0.1)
+        self.assertGreater(self.refusals.wait_left(), MAX_WAIT_SECONDS - 0.1)
         while self.refusals.wait_left():
             self.clock.advance(0.4)
             self.refusals.refused()
@@ -378,11 +384,11 @@
         self.close()
         self.clock.advance(60.0)
         self.close()
-        self.assertGreater(self.refusals.wait_left(), WAIT_SECONDS - 0.1)
+        self.assertGreater(self.refusals.wait_left(), MAX_WAIT_SECONDS - 0.1)
 
 
 class Events(unittest.TestCase):
-    """Whole events only."""
+    """Forwarding of complete events only."""
 
     def test_event_is_kept_back_until_it_is_whole(self) -> None:
         events = WholeEvents()
@@ -392,9 +398,9 @@
         self.assertEqual(events.last_id, b"1")
 
     def test_resumed_stream_repeats_nothing(self) -> None:
-        """An endpoint breaks off within event 3.
+        """The connection to an endpoint ends within event 3.
 
-        The next one begins with event 2 again; its caller must see each event once.
+        The next endpoint begins with event 2 again; the caller must receive each event once.
         """
         events = WholeEvents()
         events.feed(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda")
@@ -409,7 +415,7 @@
 
 
 class RepeatTest(unittest.TestCase):
-    """What may be repeated follows from the route alone."""
+    """Whether a request may be repeated depends on its route only."""
 
     def test_kinds(self) -> None:
         self.assertTrue(route(repeat=Repeat.IDEMPOTENT).repeatable)
--- a/tests/test_gateway_pool.py
+++ b/tests/test_gateway_pool.py
@@ -1,4 +1,4 @@
-"""What a pool tells and grants while one of several groups stands still."""
+"""Slots and retry times of a pool while one of several groups is stalled."""
 
 import random
 import unittest
@@ -9,10 +9,10 @@
 from carawayhub.errors import RequestError
 from carawayhub.gateway.calls import Admitted, CallerRequest
 from carawayhub.gateway.health import Health
-from carawayhub.gateway.line import RETRY_PART
+from carawayhub.gateway.line import MAX_RETRY_AFTER_RATIO
 from carawayhub.gateway.loads import Loads, Work
 from carawayhub.gateway.model import GroupSeat
-from carawayhub.gateway.outage import UNKNOWN_LEFT
+from carawayhub.gateway.outage import FIRST_OUTAGE_SECONDS
 from carawayhub.gateway.pool import ServicePool
 from carawayhub.gateway.ports import EndpointPublished, Published, TablePublished
 from carawayhub.gateway.retryshare import RetryShare
@@ -23,7 +23,7 @@
 
 
 class World:
-    """Two groups of one place each; the second lost a rank and stands still."""
+    """Two groups with one slot each; the second lost a rank and is stalled."""
 
     def __init__(self) -> None:
         clock = LoopClock()
@@ -34,13 +34,13 @@
         self.view.replace(Published(revision=1, changes=(first, *self.groups(False))))
         retries = RetryShare(clock, 0.2, 88.0, 10.0)
         self.pool = ServicePool("llm", self.view, Loads(), Health(clock), clock, rng, retries)
-        self.pool.look_at_groups()
+        self.pool.update_outages()
 
-    def groups(self, second_stands: bool) -> list[EndpointPublished]:
-        """Return both groups as they register themselves."""
+    def groups(self, second_available: bool) -> list[EndpointPublished]:
+        """Return the registrations of both groups."""
         seats = [
             GroupSeat("g0", 1, 0, True, 1),
-            GroupSeat("g1", 1 + second_stands, 0, second_stands, 2),
+            GroupSeat("g1", 1 + second_available, 0, second_available, 2),
         ]
         return [
             EndpointPublished(
@@ -49,16 +49,16 @@
             for at, seat in enumerate(seats)
         ]
 
-    def stand_again(self) -> None:
-        """Let the second group form."""
+    def recover_group(self) -> None:
+        """Let the second group form, and serve the queue."""
         self.revision += 1
         changes = tuple(self.groups(True))
         self.view.extend(Published(revision=self.revision, changes=changes))
-        self.pool.look_at_groups()
-        self.pool.serve_line()
+        self.pool.update_outages()
+        self.pool.serve_queue()
 
     def call(self, *, returned: bool = False, left: float = DEADLINE) -> Admitted:
-        """Return a request that has just come."""
+        """Return a request that has just arrived."""
         now = LoopClock().monotonic()
         return Admitted(
             req=CallerRequest(
@@ -83,67 +83,67 @@
             work=Work(1, 10, 10),
         )
 
-    async def ask(self, **wish: object) -> float:
-        """Ask for a place; return the time after which it came.
+    async def acquire(self, **requirements: object) -> float:
+        """Acquire a slot; return the seconds that it took.
 
         Raises:
-            RequestError: It was turned away.
+            RequestError: The request was rejected.
         """
         began_at = LoopClock().monotonic()
-        await self.pool.take(self.call(**wish), began_at)  # type: ignore[arg-type]
+        await self.pool.acquire(self.call(**requirements), began_at)  # type: ignore[arg-type]
         return LoopClock().monotonic() - began_at
 
 
 class PartlyOutTest(unittest.TestCase):
-    """The group that serves is full, and another one is expected back."""
+    """The only available group is full, and another one is expected to recover."""
 
     def test_refused_callers_are_asked_back_when_the_group_is_expected(self) -> None:
-        """Guards against callers that spend their one further try while the group is away."""
+        """Guards against callers that use up their one retry before the group is available."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World()
-            await world.ask()
+            await world.acquire()
             with self.assertRaises(RequestError) as caught:
-                await world.ask()
-            self.assertGreaterEqual(caught.exception.retry_after, UNKNOWN_LEFT - 0.5)
-            self.assertLessEqual(caught.exception.retry_after, RETRY_PART * DEADLINE)
+                await world.acquire()
+            self.assertGreaterEqual(caught.exception.retry_after, FIRST_OUTAGE_SECONDS - 0.5)
+            self.assertLessEqual(caught.exception.retry_after, MAX_RETRY_AFTER_RATIO * DEADLINE)
 
-        run(story)
+        run(scenario)
 
     def test_caller_that_has_come_back_waits_for_the_group(self) -> None:
-        """Guards against a second refusal just before there are places."""
+        """Guards against a second refusal shortly before slots become free."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World()
-            await world.ask()
+            await world.acquire()
             waited: list[float] = []
 
-            async def come_back() -> None:
-                waited.append(await world.ask(returned=True, left=5.0))
+            async def retry() -> None:
+                waited.append(await world.acquire(returned=True, left=5.0))
 
             async with anyio.create_task_group() as tasks:
-                await anyio.sleep(UNKNOWN_LEFT - 1.0)
-                tasks.start_soon(come_back)
+                await anyio.sleep(FIRST_OUTAGE_SECONDS - 1.0)
+                tasks.start_soon(retry)
                 await anyio.sleep(1.0)
-                world.stand_again()
+                world.recover_group()
             self.assertAlmostEqual(waited[0], 1.0, delta=0.1)
 
-        run(story)
+        run(scenario)
 
     def test_nobody_waits_for_a_group_that_stays_away(self) -> None:
-        """Guards against callers held for a group of which nothing is known for long."""
+        """Guards against callers that wait for a group without updates for a long time."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             world = World()
-            await world.ask()
+            await world.acquire()
             await anyio.sleep(30.0)
             began_at = LoopClock().monotonic()
             with self.assertRaises(RequestError) as caught:
-                await world.ask(returned=True, left=5.0)
+                await world.acquire(returned=True, left=5.0)
             self.assertLess(LoopClock().monotonic() - began_at, 1.0)
-            self.assertLess(caught.exception.retry_after, RETRY_PART * 5.0)
+            self.assertLess(caught.exception.retry_after, MAX_RETRY_AFTER_RATIO * 5.0)
 
-        run(story)
+        run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -12,7 +12,7 @@
 from carawayhub.endpoints.endings import Endings
 from carawayhub.endpoints.upstream import Upstream
 from carawayhub.gateway.app import GatewayApp
-from carawayhub.gateway.desk import Desk
+from carawayhub.gateway.desk import AdmissionControl
 from carawayhub.gateway.health import Health
 from carawayhub.gateway.loads import Loads
 from carawayhub.gateway.model import CallerLimits, Repeat
@@ -122,7 +122,7 @@
             ),
             rates=rates(self.clock),
         )
-        desk = Desk(self.view, self.clock, rng, 5.0)
+        desk = AdmissionControl(self.view, self.clock, rng, 5.0)
         app = GatewayApp(
             self.clock, PlatformWire(), desk, GatewayRelay(parts), CallerLimits, self.tally
         )
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -1,4 +1,4 @@
-"""Groups that stand still: who is sent there, who waits for them, who is told when to come back."""
+"""Stalled groups: which endpoints may get work, and how long an outage is expected to last."""
 
 import unittest
 
@@ -7,13 +7,17 @@
 from benchmarks.outage import play
 from carawayhub.clock import ManualClock
 from carawayhub.gateway.model import GroupSeat
-from carawayhub.gateway.outage import FORM_SECONDS, UNKNOWN_LEFT, Outage, Seen
+from carawayhub.gateway.outage import FIRST_OUTAGE_SECONDS, FORM_SECONDS, Outage, OutageState
 from carawayhub.gateway.ports import EndpointPublished, EndpointRemoved, Published
-from carawayhub.gateway.standing import NOTICE_SECONDS
+from carawayhub.gateway.standing import LOSS_NOTICE_SECONDS
 from carawayhub.gateway.view import FleetView
 from tests.gateway_world import endpoint
 
-STANDS, STILL, FORMING = Seen(True, False), Seen(False, False), Seen(False, True)
+AVAILABLE, STALLED, FORMING = (
+    OutageState(True, False),
+    OutageState(False, False),
+    OutageState(False, True),
+)
 
 
 def setUpModule() -> None:
@@ -35,7 +39,7 @@
             self.register(rank, epoch=1)
 
     def register(self, rank: int, epoch: int, formed: bool = True, name: str = "") -> None:
-        """Let a rank of a group of three register itself."""
+        """Register a rank of a group of three."""
         name = name or f"i-{rank}"
         seat = GroupSeat("g0", epoch, rank, formed, 3)
         self.revision += 1
@@ -46,7 +50,7 @@
         return {each.id for each in self.view.serving("llm")}
 
     def test_group_that_says_that_it_stands_still_gets_nothing(self) -> None:
-        """The entry of the rank that ended stays for some seconds, and says that all is well."""
+        """The registration of an ended rank remains for some seconds and reports a formed group."""
         self.register(1, epoch=1, formed=False)
         self.register(2, epoch=1, formed=False)
         self.assertEqual(self.serving(), set())
@@ -66,15 +70,15 @@
         self.assertEqual(self.serving(), set())
         self.clock.advance(1.5)
         self.register(1, epoch=1, formed=False)
-        self.clock.advance(NOTICE_SECONDS)
+        self.clock.advance(LOSS_NOTICE_SECONDS)
         self.assertEqual(self.serving(), set())
         self.register(1, epoch=2)
         self.assertEqual(self.serving(), {"i-1"})
 
     def test_end_that_no_rank_registers_was_none(self) -> None:
-        """A path to one replica broke. Its group is used again soon."""
+        """Only the connection to one replica broke, so its group is soon used again."""
         self.view.rank_ended(self.view.endpoint("i-0"))
-        self.clock.advance(NOTICE_SECONDS + 0.1)
+        self.clock.advance(LOSS_NOTICE_SECONDS + 0.1)
         self.assertEqual(self.serving(), self.all())
 
     def test_end_of_a_formation_says_nothing_of_the_next(self) -> None:
@@ -97,29 +101,29 @@
 
 
 class Expected(unittest.TestCase):
-    """For how long an outage is expected to last on."""
+    """Expected remaining time of an outage."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(100.0)
         self.outage = Outage(self.clock)
 
     def last(self, seconds: float, forming: float = 0.6) -> None:
-        """Let an outage last for some seconds."""
-        self.outage.look(STILL)
+        """Run an outage of some seconds, the last ``forming`` of which all ranks are present."""
+        self.outage.update(STALLED)
         self.clock.advance(seconds - forming)
-        self.outage.look(FORMING)
+        self.outage.update(FORMING)
         self.clock.advance(forming)
-        self.outage.look(STANDS)
+        self.outage.update(AVAILABLE)
 
     def test_none_while_a_group_stands(self) -> None:
-        self.outage.look(STANDS)
+        self.outage.update(AVAILABLE)
         self.assertIsNone(self.outage.left())
         self.last(4.0)
         self.assertIsNone(self.outage.left())
 
     def test_first_one_is_taken_to_last_some_seconds_and_then_on(self) -> None:
-        self.outage.look(STILL)
-        self.assertEqual(self.outage.left(), UNKNOWN_LEFT)
+        self.outage.update(STALLED)
+        self.assertEqual(self.outage.left(), FIRST_OUTAGE_SECONDS)
         self.clock.advance(10.0)
         self.assertEqual(self.outage.left(), 5.0)
 
@@ -127,26 +131,26 @@
         for _ in range(6):
             self.last(4.2)
             self.clock.advance(20.0)
-        self.outage.look(STILL)
+        self.outage.update(STALLED)
         self.clock.advance(1.2)
         self.assertAlmostEqual(self.outage.left(), 3.0, delta=0.1)
 
     def test_group_with_all_its_ranks_forms_soon(self) -> None:
-        self.outage.look(STILL)
+        self.outage.update(STALLED)
         self.clock.advance(1.0)
-        self.outage.look(FORMING)
+        self.outage.update(FORMING)
         self.assertEqual(self.outage.left(), FORM_SECONDS)
-        self.outage.look(STILL)
+        self.outage.update(STALLED)
         self.assertGreater(self.outage.left(), FORM_SECONDS)
 
 
 class Replayed(unittest.TestCase):
-    """A rank ends every ten seconds, of 24 in two groups that are two thirds full."""
+    """One of 24 ranks in two groups ends every ten seconds; two thirds of the slots are in use."""
 
     def test_few_requests_reach_ranks_that_stand_still_and_more_callers_are_served(self) -> None:
-        """Ranks of the broken group were sent requests for 1.5 s, which waited and were refused.
+        """Guards against sending requests to ranks of a broken group.
 
-        Before: 1,083 requests of 2,356 callers reached such ranks, and the worth was 0.73.
+        They would wait for 1.5 s and be refused, until the ranks report the loss.
         """
         found = play(seed=1, groups=2, back_seconds=4.5)
         self.assertLess(found.wasted, 30)
