--- a/carawayhub/gateway/retryshare.py
+++ b/carawayhub/gateway/retryshare.py
@@ -55,8 +55,8 @@
         """
         self._drop_old(self._requests)
         self._drop_old(self._repeats)
-        share = 1.0 / entries if entries else DEFAULT_SHARE
-        allowed = SAFETY_FACTOR * (self._ratio * len(self._requests) + self._extra * share)
+        part = 1.0 / entries if entries else DEFAULT_SHARE
+        allowed = SAFETY_FACTOR * (self._ratio * len(self._requests) + self._extra * part)
         if len(self._repeats) + 1 > allowed:
             return False
         self._repeats.append(self._clock.monotonic())
--- a/tests/test_gateway_pool.py
+++ b/tests/test_gateway_pool.py
@@ -83,7 +83,7 @@
             work=Work(1, 10, 10),
         )
 
-    async def acquire(self, **requirements: object) -> float:
+    async def ask(self, **requirements: object) -> float:
         """Acquire a slot; return the seconds that it took.
 
         Raises:
@@ -102,9 +102,9 @@
 
         async def scenario() -> None:
             world = World()
-            await world.acquire()
+            await world.ask()
             with self.assertRaises(RequestError) as caught:
-                await world.acquire()
+                await world.ask()
             self.assertGreaterEqual(caught.exception.retry_after, FIRST_OUTAGE_SECONDS - 0.5)
             self.assertLessEqual(caught.exception.retry_after, MAX_RETRY_AFTER_RATIO * DEADLINE)
 
@@ -115,11 +115,11 @@
 
         async def scenario() -> None:
             world = World()
-            await world.acquire()
+            await world.ask()
             waited: list[float] = []
 
             async def retry() -> None:
-                waited.append(await world.acquire(returned=True, left=5.0))
+                waited.append(await world.ask(returned=True, left=5.0))
 
             async with anyio.create_task_group() as tasks:
                 await anyio.sleep(FIRST_OUTAGE_SECONDS - 1.0)
@@ -135,11 +135,11 @@
 
         async def scenario() -> None:
             world = World()
-            await world.acquire()
+            await world.ask()
             await anyio.sleep(30.0)
             began_at = LoopClock().monotonic()
             with self.assertRaises(RequestError) as caught:
-                await world.acquire(returned=True, left=5.0)
+                await world.ask(returned=True, left=5.0)
             self.assertLess(LoopClock().monotonic() - began_at, 1.0)
             self.assertLess(caught.exception.retry_after, MAX_RETRY_AFTER_RATIO * 5.0)
 
