--- a/carawayhub/gateway/app.py
+++ b/carawayhub/gateway/app.py
@@ -10,9 +10,9 @@
 from carawayhub.codes import Code
 from carawayhub.entry.calls import Receive, Send
 from carawayhub.errors import RequestError
+from carawayhub.gateway.admission import AdmissionControl
 from carawayhub.gateway.answer import CallerAnswer
 from carawayhub.gateway.calls import Admitted, CallerRequest, CallerWire
-from carawayhub.gateway.desk import AdmissionControl
 from carawayhub.gateway.model import CallerLimits
 from carawayhub.gateway.relay import GatewayRelay
 from carawayhub.gateway.tally import Tally
--- a/carawayhub/gateway/process.py
+++ b/carawayhub/gateway/process.py
@@ -13,9 +13,9 @@
 from carawayhub.endpoints.endings import Endings
 from carawayhub.endpoints.upstream import Upstream
 from carawayhub.errors import CommandError
+from carawayhub.gateway.admission import AdmissionControl
 from carawayhub.gateway.app import GatewayApp
 from carawayhub.gateway.calls import CallerWire
-from carawayhub.gateway.desk import AdmissionControl
 from carawayhub.gateway.directory import ANSWER_SECONDS, EntryDirectory
 from carawayhub.gateway.follower import Follower
 from carawayhub.gateway.freshness import Bounds, read_times
--- a/carawayhub/gateway/view.py
+++ b/carawayhub/gateway/view.py
@@ -7,6 +7,7 @@
 from loguru import logger
 
 from carawayhub.clock import Clock
+from carawayhub.gateway.groupavailability import GroupAvailability
 from carawayhub.gateway.loads import work_key
 from carawayhub.gateway.model import Endpoint, EndpointState, RouteTable, superseded
 from carawayhub.gateway.ports import (
@@ -18,7 +19,6 @@
     Source,
     TablePublished,
 )
-from carawayhub.gateway.standing import GroupAvailability
 
 LAPSE_GRACE = 2.2
 """Seconds after the return of the store in which entries that lapsed may come back.
--- a/tests/broken_entries.py
+++ b/tests/broken_entries.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 from typing import Any
 
-from carawayhub.gateway.desk import AdmissionControl
+from carawayhub.gateway.admission import AdmissionControl
 from carawayhub.gateway.follower import Follower
 from carawayhub.gateway.model import EndpointState, Repeat
 from carawayhub.gateway.view import FleetView
--- a/tests/test_free_places.py
+++ b/tests/test_free_places.py
@@ -4,7 +4,7 @@
 import unittest
 
 from carawayhub.clock import ManualClock
-from carawayhub.gateway.freeplaces import FreeSlots
+from carawayhub.gateway.freeslots import FreeSlots
 from carawayhub.gateway.health import MAX_AVOID_SECONDS, REFUSING_SECONDS, Health
 from carawayhub.gateway.loads import Loads, Work, work_key
 from carawayhub.gateway.placement import Placement
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -11,8 +11,8 @@
 from carawayhub.clock import SystemClock
 from carawayhub.endpoints.endings import Endings
 from carawayhub.endpoints.upstream import Upstream
+from carawayhub.gateway.admission import AdmissionControl
 from carawayhub.gateway.app import GatewayApp
-from carawayhub.gateway.desk import AdmissionControl
 from carawayhub.gateway.health import Health
 from carawayhub.gateway.loads import Loads
 from carawayhub.gateway.model import CallerLimits, Repeat
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -6,10 +6,10 @@
 
 from benchmarks.outage import play
 from carawayhub.clock import ManualClock
+from carawayhub.gateway.groupavailability import LOSS_NOTICE_SECONDS
 from carawayhub.gateway.model import GroupSeat
 from carawayhub.gateway.outage import FIRST_OUTAGE_SECONDS, FORM_SECONDS, Outage, OutageState
 from carawayhub.gateway.ports import EndpointPublished, EndpointRemoved, Published
-from carawayhub.gateway.standing import LOSS_NOTICE_SECONDS
 from carawayhub.gateway.view import FleetView
 from tests.gateway_world import endpoint
 
