--- a/carawayhub/gateway/health.py
+++ b/carawayhub/gateway/health.py
@@ -42,7 +42,7 @@
     errors_at: float = 0.0
     seconds: float = 0.0
     avoided_until: float = field(default=-math.inf)
-    pause: float = MIN_AVOID_SECONDS
+    backoff: float = MIN_AVOID_SECONDS
     refusing_until: float = field(default=-math.inf)
     refused_locally_until: float = field(default=-math.inf)
 
@@ -54,7 +54,7 @@
         clock: Source of time.
     """
 
-    __slots__ = ("_clock", "_records", "_blocked_until")
+    __slots__ = ("_blocked_until", "_clock", "_records")
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -70,7 +70,7 @@
         record.errors_at = now
         if not ok:
             return
-        record.pause = MIN_AVOID_SECONDS
+        record.backoff = MIN_AVOID_SECONDS
         record.avoided_until = -math.inf
         record.refusing_until = record.refused_locally_until = -math.inf
         weight = ANSWER_TIME_WEIGHT if record.seconds else 1.0
@@ -80,9 +80,9 @@
         """Avoid an endpoint that could not be reached or went silent, with exponential backoff."""
         record = self._record(endpoint_id)
         now = self._clock.monotonic()
-        record.avoided_until = now + record.pause
+        record.avoided_until = now + record.backoff
         self._blocked_until = max(self._blocked_until, record.avoided_until)
-        record.pause = min(record.pause * 2, MAX_AVOID_SECONDS)
+        record.backoff = min(record.backoff * 2, MAX_AVOID_SECONDS)
 
     def refused(self, endpoint_id: str) -> None:
         """Record that an endpoint refused a request of this entry without running it."""
--- a/carawayhub/gateway/outage.py
+++ b/carawayhub/gateway/outage.py
@@ -50,7 +50,7 @@
         usual: Mean duration so far, weighted towards recent outages; None before the first.
     """
 
-    __slots__ = ("_clock", "_forming_since", "_form_seconds", "_since", "usual")
+    __slots__ = ("_clock", "_form_seconds", "_forming_since", "_since", "usual")
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
--- a/carawayhub/gateway/pool.py
+++ b/carawayhub/gateway/pool.py
@@ -100,19 +100,19 @@
     __slots__ = (
         "_claims",
         "_clock",
-        "_slot_counts",
+        "_first_event_seconds",
+        "_fleet_delay",
+        "_health",
         "_limits",
         "_loads",
         "_name",
-        "_propagation_delay",
-        "_health",
         "_outage",
         "_partial_outage",
+        "_pending",
         "_placement",
+        "_propagation_delay",
         "_refusals",
-        "_fleet_delay",
-        "_first_event_seconds",
-        "_pending",
+        "_slot_counts",
         "_view",
         "queue",
         "retries",
@@ -261,19 +261,19 @@
 
     def update_outages(self) -> None:
         """Update the outages from the availability of the service's groups."""
-        still = self._view.standing_still(self._name)
-        available = bool(self._endpoints()) or not still
+        stalled = self._view.standing_still(self._name)
+        available = bool(self._endpoints()) or not stalled
         before = self._outage.left()
-        forming = _is_about_to_form(still)
+        forming = _is_about_to_form(stalled)
         self._outage.update(OutageState(available, forming))
-        self._partial_outage.update(OutageState(not still, forming))
+        self._partial_outage.update(OutageState(not stalled, forming))
         after = self._outage.left()
         if (before is None) is not (after is None):
             logger.bind(
                 service=self._name,
                 expected=None if after is None else round(after, 2),
                 usual=None if self._outage.usual is None else round(self._outage.usual, 2),
-                standing_still=len(still),
+                standing_still=len(stalled),
             ).warning(
                 "no group is available" if after is not None else "a group is available again"
             )
@@ -293,7 +293,7 @@
         left = max(0.0, call.ends_at - now)
         away = self._outage.left()
         if away is None:
-            away = self._limits.pause(self._endpoints()) or self._group_recovery(left)
+            away = self._limits.mean_interval(self._endpoints()) or self._group_recovery(left)
         return RequestError(code, self._name, retry_after=self.queue.retry_after(left, away))
 
     def _group_recovery(self, left: float) -> float | None:
@@ -303,8 +303,8 @@
         earlier is queued behind all new ones and finally refused; once the group is available, it
         finds free slots.
         """
-        back = self._partial_outage.left()
-        return back if back is not None and back <= left else None
+        recovery = self._partial_outage.left()
+        return recovery if recovery is not None and recovery <= left else None
 
     def _acquire_now(self, work: Work) -> Slot | None:
         return None if len(self.queue) else self._acquire_free(work)
@@ -397,8 +397,8 @@
         """
         if away is not None:
             return longest
-        back = self._partial_outage.left()
-        if call.returned and back is not None and back <= longest:
+        recovery = self._partial_outage.left()
+        if call.returned and recovery is not None and recovery <= longest:
             return longest
         return self._refusals.wait_left() if self._refusals.closed else 0.0
 
@@ -418,7 +418,7 @@
                 self.queue.expected_wait(requirements.rank, returned=requirements.returned), 3
             ),
             free=self._free_slots(),
-            limited_pause=round(self._limits.pause(self._endpoints()), 3),
+            limited_pause=round(self._limits.mean_interval(self._endpoints()), 3),
             patience=round(requirements.patience, 3),
             returned=requirements.returned,
         ).info("request rejected: no slot expected in time")
@@ -448,13 +448,13 @@
         return service.engine.kv_tokens if service is not None and service.engine else 0
 
 
-def _is_about_to_form(still: Sequence[Endpoint]) -> bool:
+def _is_about_to_form(stalled: Sequence[Endpoint]) -> bool:
     """Return whether some unavailable group has all its ranks and is about to form.
 
     Only ranks that report their group as not formed are counted: the registration of an ended rank
     remains for some seconds with its old content.
     """
-    seats = [each.seat for each in still if each.seat is not None and not each.seat.formed]
+    seats = [each.seat for each in stalled if each.seat is not None and not each.seat.formed]
     ranks = Counter((seat.group, seat.size) for seat in seats)
     return any(size and count >= size for (_, size), count in ranks.items())
 
--- a/carawayhub/gateway/refusals.py
+++ b/carawayhub/gateway/refusals.py
@@ -29,7 +29,7 @@
         clock: Source of time.
     """
 
-    __slots__ = ("_probe_at", "_clock", "_count", "_last", "_since")
+    __slots__ = ("_clock", "_count", "_last", "_probe_at", "_since")
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
--- a/carawayhub/gateway/servicelimits.py
+++ b/carawayhub/gateway/servicelimits.py
@@ -38,13 +38,13 @@
     __slots__ = (
         "_counted",
         "_counted_from",
+        "_fleet_delay",
+        "_known_share",
         "_limited",
         "_propagation_delay",
-        "_known_share",
         "_rate",
         "_rates",
         "_service",
-        "_fleet_delay",
         "held_back",
     )
 
@@ -109,7 +109,7 @@
         """Count a request that is sent to an endpoint."""
         self._rates.sent(endpoint.id)
 
-    def pause(self, endpoints: Sequence[Endpoint]) -> float:
+    def mean_interval(self, endpoints: Sequence[Endpoint]) -> float:
         """Return the mean seconds between two requests that the limits allow, 0 if there are none.
 
         The limits apply to all entries together, so this is the minimum wait of one request.
@@ -129,13 +129,13 @@
             endpoints: Endpoints that serve requests.
             waiting: Number of requests that wait at this entry.
         """
-        pause = self.pause(endpoints)
-        if pause <= 0.0:
+        mean_interval = self.mean_interval(endpoints)
+        if mean_interval <= 0.0:
             return 0.0
         propagation_delay = self._propagation_delay()
         entries = self._fleet_delay() / propagation_delay if propagation_delay > 0 else 1.0
-        overloaded = self._rate() * entries * pause > OVERLOAD_RATIO
-        return pause * (waiting + 1.0) * (entries if overloaded else 1.0)
+        overloaded = self._rate() * entries * mean_interval > OVERLOAD_RATIO
+        return mean_interval * (waiting + 1.0) * (entries if overloaded else 1.0)
 
     def log_rejection(
         self, call: Admitted, endpoints: Sequence[Endpoint], expected: float, longest: float
