--- a/carawayhub/gateway/pool.py
+++ b/carawayhub/gateway/pool.py
@@ -15,12 +15,12 @@
 from carawayhub.gateway.calls import Admitted
 from carawayhub.gateway.freeslots import FreeSlots
 from carawayhub.gateway.health import Health
+from carawayhub.gateway.line import RequestQueue, Requirements, Waiter
 from carawayhub.gateway.loads import Loads, Work, work_key
 from carawayhub.gateway.model import Endpoint, Repeat
 from carawayhub.gateway.outage import Outage, OutageState
 from carawayhub.gateway.placement import Placement, Selection
 from carawayhub.gateway.refusals import Refusals
-from carawayhub.gateway.requestqueue import RequestQueue, Requirements, Waiter
 from carawayhub.gateway.retryshare import RetryShare
 from carawayhub.gateway.servicelimits import ServiceLimits
 from carawayhub.gateway.view import FleetView
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -10,12 +10,12 @@
 from carawayhub.gateway.calls import CallerRequest
 from carawayhub.gateway.events import WholeEvents
 from carawayhub.gateway.health import MIN_AVOID_SECONDS, Health
+from carawayhub.gateway.line import RequestQueue, Requirements
 from carawayhub.gateway.loads import Loads, Work, work_key
 from carawayhub.gateway.model import Repeat, RouteTable
 from carawayhub.gateway.placement import Placement
 from carawayhub.gateway.ports import Published, TablePublished
 from carawayhub.gateway.refusals import CLOSED_AFTER_REFUSALS, MAX_WAIT_SECONDS, Refusals
-from carawayhub.gateway.requestqueue import RequestQueue, Requirements
 from carawayhub.gateway.retryshare import RetryShare
 from carawayhub.gateway.view import FleetView
 from tests.gateway_world import KEY, endpoint, route, table, work
--- a/tests/test_gateway_pool.py
+++ b/tests/test_gateway_pool.py
@@ -9,12 +9,12 @@
 from carawayhub.errors import RequestError
 from carawayhub.gateway.calls import Admitted, CallerRequest
 from carawayhub.gateway.health import Health
+from carawayhub.gateway.line import MAX_RETRY_AFTER_RATIO
 from carawayhub.gateway.loads import Loads, Work
 from carawayhub.gateway.model import GroupSeat
 from carawayhub.gateway.outage import FIRST_OUTAGE_SECONDS
 from carawayhub.gateway.pool import ServicePool
 from carawayhub.gateway.ports import EndpointPublished, Published, TablePublished
-from carawayhub.gateway.requestqueue import MAX_RETRY_AFTER_RATIO
 from carawayhub.gateway.retryshare import RetryShare
 from carawayhub.gateway.view import FleetView
 from tests.gateway_world import endpoint, route, table
