--- a/carawayhub/gateway/freeslots.py
+++ b/carawayhub/gateway/freeslots.py
@@ -18,13 +18,13 @@
         loads: Work in flight.
     """
 
-    __slots__ = ("_changed", "_endpoints", "_free", "_loads", "_places", "_sum")
+    __slots__ = ("_changed", "_endpoints", "_free", "_loads", "_slots", "_sum")
 
     def __init__(self, loads: Loads) -> None:
         self._loads = loads
         self._changed: set[int] = set()
         self._endpoints: Sequence[Endpoint] = ()
-        self._places: dict[int, list[int]] = {}
+        self._slots: dict[int, list[int]] = {}
         self._free: dict[int, int] = {}
         self._sum = 0
         loads.watch(self._mark_changed)
@@ -39,20 +39,20 @@
 
     def _rebuild(self, endpoints: Sequence[Endpoint]) -> None:
         self._endpoints = endpoints
-        self._places = {}
+        self._slots = {}
         for each in endpoints:
-            self._places.setdefault(work_key(each.id), []).append(each.places)
+            self._slots.setdefault(work_key(each.id), []).append(each.places)
         self._free = {}
         self._sum = 0
-        self._changed = set(self._places)
+        self._changed = set(self._slots)
 
     def _mark_changed(self, key: int) -> None:
         # Keys of other services and of removed endpoints would accumulate without bound.
-        if key in self._places:
+        if key in self._slots:
             self._changed.add(key)
 
     def _recount(self, key: int) -> None:
         requests = self._loads.requests(key)
-        free = sum(max(0, each - requests) for each in self._places[key])
+        free = sum(max(0, each - requests) for each in self._slots[key])
         self._sum += free - self._free.get(key, 0)
         self._free[key] = free
