--- a/carawayhub/gateway/gossip.py
+++ b/carawayhub/gateway/gossip.py
@@ -27,7 +27,7 @@
 )
 from carawayhub.gateway.loads import Loads, Work
 from carawayhub.gateway.peers import Peers
-from carawayhub.gateway.retryshare import LONE_PART
+from carawayhub.gateway.retryshare import DEFAULT_SHARE
 from carawayhub.gateway.telling import (
     GOSSIP_INTERVAL_SECONDS,
     VIA_DELEGATE,
@@ -167,7 +167,7 @@
         if not self._peers and not self._seeds:
             return 1.0
         if not self.settled_entries():
-            return LONE_PART
+            return DEFAULT_SHARE
         return self._peers.reachable_fraction(self._clock.monotonic())
 
     def add_seeds(self, seeds: frozenset[str]) -> None:
@@ -296,7 +296,7 @@
         self._update_part()
 
     def _apply_reported(self, reporter: str, rows: Sequence[WorkRow], refusing: list[str]) -> None:
-        self._loads.heard(
+        self._loads.update_peer(
             reporter, {row.key: Work(row.requests, row.reading, row.tokens) for row in rows}
         )
         self._reported_at[reporter] = self._clock.monotonic()
@@ -352,11 +352,11 @@
             return
         logger.bind(part=part.value, entries=len(self._peers) + 1).info("gossip role changed")
         self._builder.part = part
-        for reporter in self._loads.tellers():
+        for reporter in self._loads.peers():
             self._forget_reporter(reporter)
 
     def _forget_reporter(self, reporter: str) -> None:
-        self._loads.forget(reporter)
+        self._loads.remove_peer(reporter)
         self._reported_at.pop(reporter, None)
         self.own.told_refusing.pop(reporter, None)
 
--- a/carawayhub/gateway/relay.py
+++ b/carawayhub/gateway/relay.py
@@ -35,7 +35,7 @@
 from carawayhub.gateway.health import Health
 from carawayhub.gateway.loads import Work, work_key
 from carawayhub.gateway.model import Endpoint, Repeat
-from carawayhub.gateway.pool import Place, ServicePool
+from carawayhub.gateway.pool import ServicePool, Slot
 from carawayhub.gateway.view import FleetView
 from carawayhub.limits.replicarate import ReplicaRates
 
@@ -139,7 +139,7 @@
 
     async def _try_endpoints(self, progress: _Progress, pool: ServicePool) -> None:
         with self._parts.endings.waiting(progress.call.fingerprint):
-            slot: Place | None = await pool.take(progress.call, self._now())
+            slot: Slot | None = await pool.acquire(progress.call, self._now())
         while slot is not None:
             refused = False
             try:
@@ -153,7 +153,7 @@
             slot = self._next_slot(progress, pool) or await self._wait_for_slot(progress, pool)
         raise self._final_error(progress, pool)
 
-    def _next_slot(self, progress: _Progress, pool: ServicePool) -> Place | None:
+    def _next_slot(self, progress: _Progress, pool: ServicePool) -> Slot | None:
         """Return the slot of the next attempt, None if another one is not allowed or possible."""
         call = progress.call
         if not self._may_resend(progress):
@@ -164,13 +164,13 @@
             return None
         if progress.sends and not pool.retries.spend(self._parts.entries()):
             return None
-        return pool.retake(call, progress.tried)
+        return pool.acquire_for_retry(call, progress.tried)
 
     def _may_resend(self, progress: _Progress) -> bool:
         """Return whether a request may be sent again, given the endpoints that ended running it."""
         return self._parts.endings.may_go_on(progress.call.fingerprint, progress.sends)
 
-    async def _wait_for_slot(self, progress: _Progress, pool: ServicePool) -> Place | None:
+    async def _wait_for_slot(self, progress: _Progress, pool: ServicePool) -> Slot | None:
         """Wait for a slot for a request that endpoints refused, and return it.
 
         A request that was sent to its maximum number of endpoints returns to one of these.
@@ -182,7 +182,7 @@
             return None
         full = len(progress.sent_to) >= progress.call.route.attempts
         with self._parts.endings.waiting(progress.call.fingerprint):
-            slot = await pool.retake_later(progress.call, progress.sent_to if full else None)
+            slot = await pool.wait_for_retry(progress.call, progress.sent_to if full else None)
         if slot is None:
             return None
         if not pool.retries.spend(self._parts.entries()):
@@ -190,7 +190,7 @@
             return None
         return slot
 
-    async def _try_endpoint(self, progress: _Progress, pool: ServicePool, slot: Place) -> None:
+    async def _try_endpoint(self, progress: _Progress, pool: ServicePool, slot: Slot) -> None:
         endpoint = slot.endpoint
         progress.tried.add(endpoint.id)
         sent_at = self._now()
@@ -226,7 +226,7 @@
             self._parts.health.unreachable(endpoint.id)
             view.rank_ended(endpoint)
 
-    def _record_silence(self, progress: _Progress, slot: Place, sent_at: float) -> None:
+    def _record_silence(self, progress: _Progress, slot: Slot, sent_at: float) -> None:
         """Count a failure of an endpoint that sent nothing until the caller disconnected.
 
         An endpoint that accepts requests and never answers looks least loaded and would be chosen
@@ -243,7 +243,7 @@
         ).info("nothing came until the caller left")
 
     def _record_failure(
-        self, progress: _Progress, pool: ServicePool, slot: Place, exc: RequestError, sent_at: float
+        self, progress: _Progress, pool: ServicePool, slot: Slot, exc: RequestError, sent_at: float
     ) -> None:
         endpoint = slot.endpoint
         if exc.code in _UNREACHABLE_CODES:
@@ -263,7 +263,7 @@
         ).info("attempt failed")
 
     async def _exchange(
-        self, progress: _Progress, pool: ServicePool, slot: Place, sent_at: float
+        self, progress: _Progress, pool: ServicePool, slot: Slot, sent_at: float
     ) -> None:
         req = self._upstream_request(progress, slot)
         async with self._parts.upstream.open(req) as response:
@@ -325,7 +325,7 @@
     async def _relay_complete_answer(
         self,
         progress: _Progress,
-        slot: Place,
+        slot: Slot,
         sent_at: float,
         head: AnswerHead,
         response: UpstreamResponse,
@@ -341,7 +341,7 @@
         self,
         progress: _Progress,
         pool: ServicePool,
-        slot: Place,
+        slot: Slot,
         sent_at: float,
         head: AnswerHead,
         response: UpstreamResponse,
@@ -354,7 +354,7 @@
                 continue
             if not slot.read:
                 seconds = self._now() - sent_at
-                pool.started(slot, seconds)
+                pool.record_first_event(slot, seconds)
                 self._parts.health.answered(slot.endpoint.id, seconds, ok=True)
             if not progress.answer.started:
                 await progress.answer.start(head.status, head.headers)
@@ -365,7 +365,7 @@
             await progress.answer.start(head.status, head.headers)
         await progress.answer.end()
 
-    def _upstream_request(self, progress: _Progress, slot: Place) -> UpstreamRequest:
+    def _upstream_request(self, progress: _Progress, slot: Slot) -> UpstreamRequest:
         call, endpoint = progress.call, slot.endpoint
         now = self._now()
         headers = self._parts.wire.dispatch(
@@ -442,12 +442,12 @@
             return last
         self._parts.endings.check(progress.call.fingerprint)
         code = last.code if last is not None else Code.NO_ENDPOINT
-        return pool.refusal(progress.call, self._now(), code)
+        return pool.rejection(progress.call, self._now(), code)
 
     def _timeout_error(self, progress: _Progress, pool: ServicePool) -> RequestError:
         if progress.sends:
             return RequestError(Code.ANSWER_TIMEOUT, progress.call.route.name)
-        return pool.refusal(progress.call, self._now(), Code.OVERLOADED)
+        return pool.rejection(progress.call, self._now(), Code.OVERLOADED)
 
     def _now(self) -> float:
         return self._parts.clock.monotonic()
--- a/carawayhub/gateway/telling.py
+++ b/carawayhub/gateway/telling.py
@@ -26,7 +26,7 @@
     Phase,
     WorkRow,
 )
-from carawayhub.gateway.loads import Loads, Works
+from carawayhub.gateway.loads import Loads, WorkByKey
 from carawayhub.gateway.peers import Peers
 from carawayhub.limits.poisonnews import PoisonUpdates
 from carawayhub.limits.replicarate import ReplicaRates
@@ -268,7 +268,7 @@
                 members=self._members_if_due(
                     "", [*(each.row() for each in in_own_domain), self._own.row()]
                 ),
-                works=self._rows(self._loads.of(reporters)),
+                works=self._rows(self._loads.combined(reporters)),
                 refusing=self._refusing(reporters),
                 rates=self._rates.rows(reporters),
             )
@@ -285,7 +285,7 @@
         refusing = self._refusing(self._own.told_refusing)
         datagrams = {}
         for each in self._peers.in_own_domain():
-            works = self._rows(self._loads.without(each.ip))
+            works = self._rows(self._loads.excluding(each.ip))
             rates = self._rates.rows_without(each.ip)
             digest = _raw(Digest(members=member_rows, works=works, refusing=refusing, rates=rates))
             datagrams[each.ip] = self._datagram(each.ip, hello, digest)
@@ -322,7 +322,7 @@
         ends = self._poison_news.rows_for(ip, run, hello.number) if with_ends else []
         return msgspec.msgpack.encode(Datagram(run, peer.number, hello.hello, digest, ends))
 
-    def _rows(self, works: Works) -> list[WorkRow]:
+    def _rows(self, works: WorkByKey) -> list[WorkRow]:
         rows = [
             WorkRow(key, work.requests, work.reading, work.tokens) for key, work in works.items()
         ]
--- a/carawayhub/gateway/view.py
+++ b/carawayhub/gateway/view.py
@@ -7,6 +7,7 @@
 from loguru import logger
 
 from carawayhub.clock import Clock
+from carawayhub.gateway.groupavailability import GroupAvailability
 from carawayhub.gateway.loads import work_key
 from carawayhub.gateway.model import Endpoint, EndpointState, RouteTable, superseded
 from carawayhub.gateway.ports import (
@@ -18,7 +19,6 @@
     Source,
     TablePublished,
 )
-from carawayhub.gateway.standing import GroupStanding
 
 LAPSE_GRACE_SECONDS = 2.2
 """Seconds after the store is available again within which lapsed entries may be renewed.
@@ -91,7 +91,7 @@
         self._current: dict[str, str] = {}
         self._unreadable: dict[str, int] = {}
         self._former_lifetime_updates: Counter[str] = Counter()
-        self._group_status = GroupStanding(clock)
+        self._group_status = GroupAvailability(clock)
         self._unavailable: dict[str, tuple[Endpoint, ...]] = {}
         self._lapsed: dict[str, float] = {}
         self._misdirected: set[str] = set()
@@ -209,7 +209,7 @@
 
     def is_group_available(self, endpoint: Endpoint) -> bool:
         """Return whether the group of an endpoint is available, as far as is known."""
-        return self._group_status.stands(endpoint)
+        return self._group_status.is_available(endpoint)
 
     def endpoints_by_keys(self, keys: frozenset[int]) -> list[Endpoint]:
         """Return the endpoints with these keys; see ``loads.work_key``."""
@@ -243,8 +243,8 @@
     def _drop_outdated(self) -> None:
         if self._lapsed:
             self._drop_lapsed()
-        if self._group_status.changes_at() <= self._clock.monotonic():
-            self._group_status.forget_old()
+        if self._group_status.next_expiry() <= self._clock.monotonic():
+            self._group_status.drop_expired()
             self._rebuild()
 
     def _drop_lapsed(self) -> None:
@@ -378,10 +378,10 @@
         found: dict[str, list[Endpoint]] = {}
         unavailable: dict[str, list[Endpoint]] = {}
         self._superseded = superseded(filter(self._is_service_configured, self._endpoints.values()))
-        self._group_status.take(self._endpoints.values())
+        self._group_status.update(self._endpoints.values())
         for each in self._endpoints.values():
             if each.state is EndpointState.READY and each.id not in self._superseded:
-                names = found if self._group_status.stands(each) else unavailable
+                names = found if self._group_status.is_available(each) else unavailable
                 names.setdefault(each.service, []).append(each)
         self._by_service = {name: tuple(each) for name, each in found.items()}
         self._unavailable = {name: tuple(each) for name, each in unavailable.items()}
