--- a/benchmarks/map_model.py
+++ b/benchmarks/map_model.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from carawayhub.groups.change import Handling, TakeOver, Vote, take_over
+from carawayhub.groups.change import ChangeProgress, TakeOver, Vote, take_over
 from carawayhub.groups.maps import MapId
 from carawayhub.groups.orders import Change, Order, RankState, Term
 from carawayhub.standins.rank_rules import Answer, obey
@@ -47,7 +47,7 @@
 
     ranks: int
     obey: Obey
-    handling: type[Handling] = Handling
+    handling: type[ChangeProgress] = ChangeProgress
     take_over: TakeOver = take_over
     proposes: bool = True
     last_step: int = 2
--- a/benchmarks/map_states.py
+++ b/benchmarks/map_states.py
@@ -33,7 +33,7 @@
     Node,
     Setup,
 )
-from carawayhub.groups.change import Handling, Vote
+from carawayhub.groups.change import ChangeProgress, Vote
 from carawayhub.groups.maps import MapId
 from carawayhub.groups.orders import (
     Abort,
@@ -231,7 +231,7 @@
 
     def _handling_of(
         self, first: bool, change: int, withdraws: bool, votes: tuple[Vote, ...]
-    ) -> Handling:
+    ) -> ChangeProgress:
         term = FIRST_TERM if first else SECOND_TERM
         return self._setup.handling(
             term=term, change=CHANGES[change], votes=votes, withdrawing=withdraws
@@ -269,7 +269,7 @@
     def _learned(self, state: RankState, change: int) -> Vote:
         if change == NO_CHANGE:
             return Vote.UNREAD
-        return self._handling_of(True, change, False, (Vote.UNREAD,)).learn(state).votes[0]
+        return self._handling_of(True, change, False, (Vote.UNREAD,)).with_state(state).votes[0]
 
     def _number(self, state: RankState) -> int:
         number = self._state_numbers.setdefault(state, len(self._states))
--- a/carawayhub/agent/grouptask.py
+++ b/carawayhub/agent/grouptask.py
@@ -267,7 +267,7 @@
             staging_rate=self._plan.options.staging_rate,
         )
 
-    async def permitted(self) -> None:
+    async def wait_until_permitted(self) -> None:
         """Return once this agent may give orders."""
         await self._held()
 
--- a/carawayhub/agent/leasekeeper.py
+++ b/carawayhub/agent/leasekeeper.py
@@ -8,7 +8,7 @@
 from carawayhub.clock import Clock
 from carawayhub.config.model import Configuration, ModelGroup
 from carawayhub.errors import PeerError
-from carawayhub.groups.lease import Holder, Lease, Witness, witnesses
+from carawayhub.groups.lease import Holder, Lease, Witness, select_witnesses
 from carawayhub.peers.calls import CallClient
 from carawayhub.peers.messages import LeaseReply, LeaseRequest
 from carawayhub.peers.methods import LEASE
@@ -62,7 +62,7 @@
     def configured(self, cfg: Configuration, group: ModelGroup | None) -> None:
         """Keep a lease of ``group``, of none where this agent decides for none."""
         name = "" if group is None else group.name
-        chosen = () if group is None else witnesses(cfg, group)
+        chosen = () if group is None else select_witnesses(cfg, group)
         if name != self._group:
             self._group = name
             self._lease = Lease(self._clock, ())
@@ -108,7 +108,7 @@
                 "witness does not answer"
             )
             return
-        lease.heard(witness.name, asked_at, reply.named_seconds)
+        lease.record_confirmation(witness.name, asked_at, reply.named_seconds)
         if lease.valid:
             self._gained.notify()
 
--- a/carawayhub/groups/change.py
+++ b/carawayhub/groups/change.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Handling:
+class ChangeProgress:
     """What one decider knows of one change; driven by one message at a time.
 
     Attributes:
@@ -93,13 +93,13 @@
         """How the change ends, as far as the votes read so far tell."""
         return verdict(self.votes)
 
-    def learn(self, state: RankState) -> "Handling":
+    def with_state(self, state: RankState) -> "ChangeProgress":
         """Return what is known after a rank has told its state."""
         cast = vote(self.change, state)
         votes = self.votes[: state.rank] + (cast,) + self.votes[state.rank + 1 :]
         return replace(self, votes=votes)
 
-    def withdraw(self) -> "Handling":
+    def withdraw(self) -> "ChangeProgress":
         """Return the same with the change no longer wanted."""
         return replace(self, withdrawing=True)
 
@@ -110,11 +110,11 @@
             return Read(term=self.term)
         match self.verdict:
             case Verdict.COMMIT:
-                return self._towards_commit(cast)
+                return self._commit_order(cast)
             case Verdict.ABORT:
-                return self._towards_abort(cast)
+                return self._abort_order(cast)
             case Verdict.OPEN:
-                return self._towards_votes(cast)
+                return self._vote_order(cast)
 
     @property
     def settled(self) -> bool:
@@ -122,12 +122,12 @@
         final = {Verdict.COMMIT: Vote.COMMITTED, Verdict.ABORT: Vote.BARRED}.get(self.verdict)
         return all(cast is final for cast in self.votes)
 
-    def _towards_commit(self, cast: Vote) -> Order | None:
+    def _commit_order(self, cast: Vote) -> Order | None:
         if cast is Vote.COMMITTED:
             return None
         return Commit(term=self.term, change=self.change)
 
-    def _towards_abort(self, cast: Vote) -> Order | None:
+    def _abort_order(self, cast: Vote) -> Order | None:
         match cast:
             case Vote.AGREED:
                 return Abort(term=self.term, change=self.change)
@@ -137,7 +137,7 @@
             case _:
                 return None
 
-    def _towards_votes(self, cast: Vote) -> Order | None:
+    def _vote_order(self, cast: Vote) -> Order | None:
         if cast is Vote.AGREED:
             # Another decider may be settling the change: read on, to learn of it.
             return Read(term=self.term)
@@ -146,15 +146,15 @@
         return Arm(term=self.term, change=self.change)
 
 
-TakeOver = Callable[[Term, Mapping[int, RankState]], Handling | None]
+TakeOver = Callable[[Term, Mapping[int, RankState]], ChangeProgress | None]
 
 
-def begin(term: Term, change: Change, ranks: int) -> Handling:
+def begin_change(term: Term, change: Change, ranks: int) -> ChangeProgress:
     """Return the handling of a change that no rank has been told of yet."""
-    return Handling(term=term, change=change, votes=(Vote.OPEN,) * ranks)
+    return ChangeProgress(term=term, change=change, votes=(Vote.OPEN,) * ranks)
 
 
-def take_over(term: Term, states: Mapping[int, RankState]) -> Handling | None:
+def take_over(term: Term, states: Mapping[int, RankState]) -> ChangeProgress | None:
     """Return the handling of a change that another decider left behind, None where there is none.
 
     A change that some rank is armed for is settled: it is committed where all have agreed, and
@@ -165,7 +165,7 @@
     if not armed:
         return None
     change = min(armed, key=lambda one: (one.step, one.target))
-    handling = begin(term, change, len(states)).withdraw()
+    progress = begin_change(term, change, len(states)).withdraw()
     for state in states.values():
-        handling = handling.learn(state)
-    return None if handling.settled else handling
+        progress = progress.with_state(state)
+    return None if progress.settled else progress
--- a/carawayhub/groups/decider.py
+++ b/carawayhub/groups/decider.py
@@ -17,15 +17,15 @@
 from carawayhub.codes import Code
 from carawayhub.config.model import ModelGroup
 from carawayhub.errors import GroupError
-from carawayhub.groups.change import Handling, Verdict, begin, take_over
+from carawayhub.groups.change import ChangeProgress, Verdict, begin_change, take_over
 from carawayhub.groups.maps import ExpertMap
-from carawayhub.groups.membership import form, formed, newest_version, read_map, starting_map
+from carawayhub.groups.membership import form, is_formed, newest_version, read_map, starting_map
 from carawayhub.groups.orders import Change, Formation, RankState, Read, Term
 from carawayhub.groups.outcomes import Outcome
 from carawayhub.groups.policy import Decision, Keep, Rebalance, Situation
 from carawayhub.groups.popularity import ExpertCounters
 from carawayhub.groups.ranks import RankPort
-from carawayhub.groups.rounds import give
+from carawayhub.groups.rounds import send_orders
 from carawayhub.groups.settle import settle
 from carawayhub.groups.staging import Staging, StoreBudget, stage
 from carawayhub.groups.status import (
@@ -37,18 +37,18 @@
     GroupStatus,
     MapChanged,
     MapKept,
-    record,
+    record_event,
 )
 from carawayhub.output.audit import AuditTrail
 
 DECIDER_BITS = 62
-STILL_LOOKS = 2
+STALLED_POLLS = 2
 
-STANDING_KEPT = 5.0
+STATUS_GRACE_SECONDS = 5.0
 """Seconds without a lease for which a group that stepped is still said to step."""
 
 
-class Chooser(Protocol):
+class MapPolicy(Protocol):
     """Decides whether and how to change the map; ``groups.policy.Policy`` is one."""
 
     def observe(self, counters: ExpertCounters) -> object:
@@ -73,7 +73,7 @@
     def situation(self) -> Situation:
         """Return load, drain and what else the policy weighs."""
 
-    async def permitted(self) -> None:
+    async def wait_until_permitted(self) -> None:
         """Return once this agent may give orders."""
 
 
@@ -98,11 +98,11 @@
     full_read_interval: float = 10.0
     decision_interval: float = 10.0
     lead_steps: int = 64
-    agree_within: float = 2.0
+    agree_timeout: float = 2.0
     lost_after: float = 3.0
-    stage_within: float = 900.0
-    form_within: float = 5.0
-    stand_down: float = 5.0
+    stage_timeout: float = 900.0
+    form_timeout: float = 5.0
+    overtaken_pause: float = 5.0
     staging_rate: float = 125_000_000.0
 
 
@@ -128,7 +128,7 @@
         group: ModelGroup,
         version: int,
         ports: Sequence[RankPort],
-        chooser: Chooser,
+        map_policy: MapPolicy,
         signals: GroupSignals,
         clock: Clock,
         trail: AuditTrail,
@@ -139,7 +139,7 @@
         self._group = group
         self._version = version
         self._ports = ports
-        self._chooser = chooser
+        self._map_policy = map_policy
         self._signals = signals
         self._clock = clock
         self._trail = trail
@@ -155,24 +155,24 @@
         """Tend the group until cancelled; cancelling is safe at any point."""
         while True:
             try:
-                await self.tend()
+                await self.reconcile()
             except GroupError as exc:
-                self._fault(exc)
+                self._handle_error(exc)
                 if exc.code is Code.LEASE_LAPSED:
                     await self._until_permitted()
                     continue
                 fenced = exc.code is Code.CHANGE_OVERTAKEN
                 options = self._options
-                await anyio.sleep(options.stand_down if fenced else options.watch_interval)
+                await anyio.sleep(options.overtaken_pause if fenced else options.watch_interval)
 
-    async def tend(self) -> None:
+    async def reconcile(self) -> None:
         """Read all ranks, mend what is found, and watch the group until it needs mending again.
 
         Raises:
             GroupError: The group cannot be mended now, or another decider has it.
         """
         states = await self._claim()
-        if not formed(states, self._group.ranks):
+        if not is_formed(states, self._group.ranks):
             await self._form(states)
             states = await self._read()
         while (left := take_over(self._term, states)) is not None:
@@ -189,10 +189,10 @@
         current = self._current
         counters = await self._signals.counters()
         if counters is not None:
-            self._chooser.observe(counters)
+            self._map_policy.observe(counters)
         if current is None:
             return None
-        decision = self._chooser.decide(current, self._signals.situation())
+        decision = self._map_policy.decide(current, self._signals.situation())
         self._report_gains()
         self.status.skew = decision.skew
         self.status.reason = decision.reason.value
@@ -228,7 +228,7 @@
         """
         order = Read(term=self._term if term is None else term)
         # A read with term number 0 asks for no promise that counts, and must not be fenced.
-        replies = await give(
+        replies = await send_orders(
             self._ports, {port.rank: order for port in self._ports}, fenced_is_error=term is None
         )
         lost = tuple(port.rank for port in self._ports if port.rank not in replies)
@@ -238,7 +238,7 @@
         return {rank: reply.state for rank, reply in replies.items()}
 
     async def _form(self, states: Mapping[int, RankState]) -> None:
-        self._not_formed("the ranks are not in one formation")
+        self._mark_not_formed("the ranks are not in one formation")
         first = await starting_map(self._group, self._ports, states)
         self.status.changing = f"joining under map {first.id}"
         await self._stage(None, first)
@@ -251,7 +251,7 @@
             members=tuple(states[port.rank].incarnation for port in self._ports),
             first_map=first.id,
         )
-        deadline = self._clock.monotonic() + self._options.form_within
+        deadline = self._clock.monotonic() + self._options.form_timeout
         await form(self._ports, states, formation, self._term, self._clock, deadline)
 
     async def _adopt(self, states: Mapping[int, RankState]) -> None:
@@ -264,7 +264,7 @@
         if self._current is None or self._current.id != state.next_map:
             self._current = await read_map(self._ports[0], state)
         was_formed = self.status.formed
-        self._in_force(self._current)
+        self._set_current_map(self._current)
         self.status.formed = True
         if not was_formed and state.formation is not None:
             self._record(GroupFormed(formation=state.formation.id, first_map=self._current.id))
@@ -286,13 +286,13 @@
         still = 0
         while self._clock.monotonic() < self._read_all_at:
             await anyio.sleep(self._options.watch_interval)
-            replies = await give(self._ports, {0: Read(term=self._term)})
+            replies = await send_orders(self._ports, {0: Read(term=self._term)})
             if 0 not in replies:
                 return
-            if deciding and _waits_for_a_verdict(replies[0].state):
+            if deciding and _awaits_verdict(replies[0].state):
                 return
             still = still + 1 if replies[0].state.entered == entered else 0
-            if still >= STILL_LOOKS:
+            if still >= STALLED_POLLS:
                 return
             entered = replies[0].state.entered
             if deciding and self._clock.monotonic() >= self._decide_at:
@@ -304,7 +304,7 @@
         new = decision.map
         self.status.changing = f"staging map {new.id}"
         try:
-            await self._stage_under_watch(current, new)
+            await self._stage_while_watching(current, new)
             verdict = await self._switch(current, new)
         except GroupError as exc:
             self._record(MapKept(before=current.id, wanted=new.id, reason=str(exc)))
@@ -315,8 +315,8 @@
             reason = "not all ranks agreed in time"
             self._record(MapKept(before=current.id, wanted=new.id, reason=reason))
             return
-        self._in_force(new)
-        self._chooser.applied(current, decision)
+        self._set_current_map(new)
+        self._map_policy.applied(current, decision)
         self._record(
             MapChanged(
                 before=current.id,
@@ -332,7 +332,7 @@
     async def _switch(self, current: ExpertMap, new: ExpertMap) -> Verdict:
         """Have all ranks agree on a step to switch at, and settle it."""
         states = await self._read()
-        if not formed(states, self._group.ranks):
+        if not is_formed(states, self._group.ranks):
             raise GroupError(Code.GROUP_BROKEN, "a rank left the formation while staging")
         formation = states[0].formation
         assert formation is not None
@@ -343,15 +343,15 @@
             target=new.id,
             step=max(state.entered for state in states.values()) + self._options.lead_steps,
         )
-        handling = begin(self._term, change, self._group.ranks)
-        agree_by = self._clock.monotonic() + self._options.agree_within
-        return await self._settle(handling, agree_by)
+        progress = begin_change(self._term, change, self._group.ranks)
+        agree_by = self._clock.monotonic() + self._options.agree_timeout
+        return await self._settle(progress, agree_by)
 
-    async def _settle(self, handling: Handling, agree_by: float) -> Verdict:
+    async def _settle(self, progress: ChangeProgress, agree_by: float) -> Verdict:
         patience = self._options.lost_after
-        return await settle(self._ports, handling, self._clock, agree_by, patience)
+        return await settle(self._ports, progress, self._clock, agree_by, patience)
 
-    async def _stage_under_watch(self, old: ExpertMap, new: ExpertMap) -> None:
+    async def _stage_while_watching(self, old: ExpertMap, new: ExpertMap) -> None:
         """Stage ``new``, unless the group breaks meanwhile.
 
         Staging may take minutes. A rank that is lost then would otherwise hold it up until its
@@ -379,7 +379,7 @@
     async def _watch_until_broken(self) -> None:
         while True:
             await self._watch(deciding=False)
-            if not formed(await self._read(), self._group.ranks):
+            if not is_formed(await self._read(), self._group.ranks):
                 raise GroupError(Code.GROUP_BROKEN, "a rank left the formation while staging")
             self._read_all_at = self._clock.monotonic() + self._options.full_read_interval
 
@@ -389,35 +389,35 @@
             old=old,
             new=new,
             expert_bytes=self._group.expert_bytes,
-            deadline=self._clock.monotonic() + self._options.stage_within,
+            deadline=self._clock.monotonic() + self._options.stage_timeout,
         )
         await stage(self._ports, staging, self._budget, self._clock)
 
-    def _in_force(self, current: ExpertMap) -> None:
+    def _set_current_map(self, current: ExpertMap) -> None:
         self._current = current
         self.status.map_number = current.number
         self.status.digest = current.digest
         self.status.changing = ""
 
     async def _until_permitted(self) -> None:
-        with anyio.move_on_after(STANDING_KEPT):
-            await self._signals.permitted()
+        with anyio.move_on_after(STATUS_GRACE_SECONDS):
+            await self._signals.wait_until_permitted()
             return
-        self._not_formed("too few witnesses confirm its decider")
-        await self._signals.permitted()
+        self._mark_not_formed("too few witnesses confirm its decider")
+        await self._signals.wait_until_permitted()
 
-    def _fault(self, exc: GroupError) -> None:
+    def _handle_error(self, exc: GroupError) -> None:
         if exc.code in (Code.GROUP_BROKEN, Code.RANK_UNREACHABLE):
-            self._not_formed(str(exc))
+            self._mark_not_formed(str(exc))
         self.status.changing = ""
 
-    def _not_formed(self, reason: str) -> None:
+    def _mark_not_formed(self, reason: str) -> None:
         if self.status.formed:
             self._record(GroupBroken(reason=reason))
         self.status.formed = False
 
     def _report_gains(self) -> None:
-        for outcome in self._chooser.measured():
+        for outcome in self._map_policy.measured():
             self._record(
                 GainMeasured(
                     map_number=outcome.map_number,
@@ -428,8 +428,8 @@
             )
 
     def _record(self, event: GroupEvent) -> None:
-        record(self._trail, self._group.name, event)
+        record_event(self._trail, self._group.name, event)
 
 
-def _waits_for_a_verdict(state: RankState) -> bool:
+def _awaits_verdict(state: RankState) -> bool:
     return state.armed is not None and not state.committed
--- a/carawayhub/groups/lease.py
+++ b/carawayhub/groups/lease.py
@@ -19,11 +19,11 @@
 LEASE_SECONDS = 3.0
 """Seconds for which a confirmation holds, counted from when it was asked for: three askings."""
 
-NAMED_SECONDS = LEASE_SECONDS + 0.5
+MIN_NAMED_SECONDS = LEASE_SECONDS + 0.5
 """Seconds for which a witness must have named an agent: the lease of the one before it, and the
 time that an order takes on its way."""
 
-MOST_WITNESSES = 3
+MAX_WITNESSES = 3
 """Witnesses of one group: one may be lost, and each more costs its agent a call a second."""
 
 NOT_NAMED = -1.0
@@ -72,7 +72,7 @@
         self._clock = clock
         self._named: dict[str, tuple[Holder, float]] = {}
 
-    def configured(self, cfg: Configuration) -> None:
+    def apply_configuration(self, cfg: Configuration) -> None:
         """Take a version that came into force."""
         now = self._clock.monotonic()
         before = self._named
@@ -80,11 +80,11 @@
         for group in cfg.groups.values():
             if group.ranks < 2:
                 continue
-            named = holder(cfg, group)
+            named = lease_holder(cfg, group)
             known, since = before.get(group.name, (None, now))
             self._named[group.name] = named, since if known == named else now
 
-    def seconds(self, group: str, asking: Holder) -> float:
+    def seconds_named(self, group: str, asking: Holder) -> float:
         """Return for how long an agent has been named, ``NOT_NAMED`` where it is not."""
         named, since = self._named.get(group, (None, 0.0))
         return self._clock.monotonic() - since if named == asking else NOT_NAMED
@@ -113,7 +113,7 @@
             name: asked_at for name, asked_at in self._confirmed.items() if name in self._witnesses
         }
 
-    def heard(self, witness: str, asked_at: float, seconds: float) -> None:
+    def record_confirmation(self, witness: str, asked_at: float, seconds: float) -> None:
         """Take an answer.
 
         Args:
@@ -123,7 +123,7 @@
         """
         if witness not in self._witnesses:
             return
-        if seconds < NAMED_SECONDS:
+        if seconds < MIN_NAMED_SECONDS:
             self._confirmed.pop(witness, None)
             return
         self._confirmed[witness] = max(asked_at, self._confirmed.get(witness, asked_at))
@@ -148,13 +148,13 @@
         return {name: round(now - asked_at, 3) for name, asked_at in self._confirmed.items()}
 
 
-def holder(cfg: Configuration, group: ModelGroup) -> Holder:
+def lease_holder(cfg: Configuration, group: ModelGroup) -> Holder:
     """Return the agent that a configuration names to decide for a group."""
     endpoint = cfg.endpoints[group.endpoints[0]]
     return Holder(endpoint.name, endpoint.agent, endpoint.vm)
 
 
-def witnesses(cfg: Configuration, group: ModelGroup) -> tuple[Witness, ...]:
+def select_witnesses(cfg: Configuration, group: ModelGroup) -> tuple[Witness, ...]:
     """Return who confirms the decider of a group.
 
     They are entries and further agents of the group in the failure domains where it runs: a group
@@ -172,7 +172,7 @@
         Witness(f"agent {each.name}", each.failure_domain, Address.parse(each.agent))
         for each in others
     ]
-    chosen = _spread(group.name, [*near, *agents])[:MOST_WITNESSES]
+    chosen = _spread(group.name, [*near, *agents])[:MAX_WITNESSES]
     return tuple(chosen if len(chosen) % 2 else chosen[:-1])
 
 
--- a/carawayhub/groups/membership.py
+++ b/carawayhub/groups/membership.py
@@ -17,12 +17,12 @@
 from carawayhub.groups.maps import ExpertMap, check_map, even_map
 from carawayhub.groups.orders import Form, Formation, RankState, Term
 from carawayhub.groups.ranks import RankPort
-from carawayhub.groups.rounds import give
+from carawayhub.groups.rounds import send_orders
 
-ASK_AGAIN = 0.05
+RETRY_SECONDS = 0.05
 
 
-def formed(states: Mapping[int, RankState], ranks: int) -> bool:
+def is_formed(states: Mapping[int, RankState], ranks: int) -> bool:
     """Return whether all ranks are members of one formation of just these ranks."""
     if len(states) < ranks:
         return False
@@ -96,10 +96,10 @@
     waiting = set(states)
     while waiting:
         orders = {
-            rank: Form(term=term, formation=formation, replaces=_present(states[rank]))
+            rank: Form(term=term, formation=formation, replaces=_formation_id(states[rank]))
             for rank in waiting
         }
-        replies = await give(ports, orders)
+        replies = await send_orders(ports, orders)
         for rank, reply in replies.items():
             if reply.state.formation == formation:
                 waiting.discard(rank)
@@ -108,10 +108,10 @@
         if waiting and clock.monotonic() >= deadline:
             raise GroupError(Code.GROUP_BROKEN, f"ranks {sorted(waiting)} do not answer")
         if waiting:
-            await anyio.sleep(ASK_AGAIN)
+            await anyio.sleep(RETRY_SECONDS)
 
 
-def _present(state: RankState) -> str:
+def _formation_id(state: RankState) -> str:
     return state.formation.id if state.formation is not None else ""
 
 
--- a/carawayhub/groups/rounds.py
+++ b/carawayhub/groups/rounds.py
@@ -9,14 +9,14 @@
 from carawayhub.groups.orders import Order, Reply
 from carawayhub.groups.ranks import RankPort
 
-ORDER_TIMEOUT = 1.0
+ORDER_TIMEOUT_SECONDS = 1.0
 
 
-async def give(
+async def send_orders(
     ports: Sequence[RankPort],
     orders: Mapping[int, Order],
     *,
-    timeout: float = ORDER_TIMEOUT,
+    timeout: float = ORDER_TIMEOUT_SECONDS,
     fenced_is_error: bool = True,
 ) -> dict[int, Reply]:
     """Give each rank its order and return the replies that came within ``timeout`` seconds.
--- a/carawayhub/groups/settle.py
+++ b/carawayhub/groups/settle.py
@@ -7,18 +7,18 @@
 from carawayhub.clock import Clock
 from carawayhub.codes import Code
 from carawayhub.errors import GroupError
-from carawayhub.groups.change import Handling, Verdict
+from carawayhub.groups.change import ChangeProgress, Verdict
 from carawayhub.groups.orders import Order, Read, Reply
 from carawayhub.groups.ranks import RankPort
-from carawayhub.groups.rounds import ORDER_TIMEOUT, give
+from carawayhub.groups.rounds import ORDER_TIMEOUT_SECONDS, send_orders
 
 ASK_AGAIN = 0.02
-PAUSE_NOTICED = 3 * ORDER_TIMEOUT
+PAUSE_NOTICED = 3 * ORDER_TIMEOUT_SECONDS
 
 
 async def settle(
     ports: Sequence[RankPort],
-    handling: Handling,
+    handling: ChangeProgress,
     clock: Clock,
     agree_by: float,
     lost_after: float,
@@ -46,19 +46,19 @@
             handling = handling.withdraw()
         known = handling
         orders = _orders(ports, handling)
-        replies = await give(ports, orders)
+        replies = await send_orders(ports, orders)
         handling = _learn(handling, replies)
         # A paused process wakes with orders in mind that fitted the ranks of long ago. They could
         # do no harm, as votes stay, but would only be refused: read the ranks first.
         if clock.monotonic() - round_began > PAUSE_NOTICED:
-            handling = _learn(handling, await give(ports, _reads(handling)))
+            handling = _learn(handling, await send_orders(ports, _reads(handling)))
         _check_heard(silent_since, orders, replies, round_began, lost_after)
         if handling == known:
             await anyio.sleep(ASK_AGAIN)
     return handling.verdict
 
 
-def _orders(ports: Sequence[RankPort], handling: Handling) -> dict[int, Order]:
+def _orders(ports: Sequence[RankPort], handling: ChangeProgress) -> dict[int, Order]:
     wanted = ((port.rank, handling.order(port.rank)) for port in ports)
     return {rank: order for rank, order in wanted if order is not None}
 
@@ -77,14 +77,14 @@
             raise GroupError(Code.RANK_UNREACHABLE, f"rank {rank} is silent in a change")
 
 
-def _reads(handling: Handling) -> dict[int, Order]:
+def _reads(handling: ChangeProgress) -> dict[int, Order]:
     return {rank: Read(term=handling.term) for rank in range(len(handling.votes))}
 
 
-def _learn(handling: Handling, replies: Mapping[int, Reply]) -> Handling:
+def _learn(handling: ChangeProgress, replies: Mapping[int, Reply]) -> ChangeProgress:
     for rank, reply in replies.items():
         formation = reply.state.formation
         if formation is None or formation.id != handling.change.formation:
             raise GroupError(Code.GROUP_BROKEN, f"rank {rank} left the formation")
-        handling = handling.learn(reply.state)
+        handling = handling.with_state(reply.state)
     return handling
--- a/carawayhub/groups/staging.py
+++ b/carawayhub/groups/staging.py
@@ -20,9 +20,9 @@
 from carawayhub.groups.ranks import RankPort
 
 BURST_SECONDS = 1.0
-BACKOFF_FIRST = 0.5
-BACKOFF_MOST = 30.0
-ASK_AGAIN = 0.05
+MIN_BACKOFF_SECONDS = 0.5
+MAX_BACKOFF_SECONDS = 30.0
+POLL_SECONDS = 0.05
 
 
 def fair_rate(store_rate: float, groups: int) -> float:
@@ -39,15 +39,15 @@
         rng: Spreads the retries of groups that were refused together.
     """
 
-    __slots__ = ("_backoff", "_clock", "_free_at", "_held_until", "_rate", "_rng")
+    __slots__ = ("_backoff", "_clock", "_free_at", "_backoff_until", "_rate", "_rng")
 
     def __init__(self, rate: float, clock: Clock, rng: random.Random) -> None:
         self._rate = rate
         self._clock = clock
         self._rng = rng
         self._free_at = -math.inf
-        self._held_until = -math.inf
-        self._backoff = BACKOFF_FIRST
+        self._backoff_until = -math.inf
+        self._backoff = MIN_BACKOFF_SECONDS
 
     @property
     def rate(self) -> float:
@@ -59,22 +59,22 @@
         now = self._clock.monotonic()
         begin = max(self._free_at, now - BURST_SECONDS)
         self._free_at = begin + size / self._rate
-        return max(self._free_at, self._held_until, now)
+        return max(self._free_at, self._backoff_until, now)
 
-    def refused(self, retry_after: float) -> float:
+    def back_off(self, retry_after: float) -> float:
         """Return the clock reading before which nothing is fetched after the store refused.
 
         Without the growing pause and its jitter, groups refused together would come back together
         and be refused for ever.
         """
         pause = max(retry_after, self._backoff) * self._rng.uniform(1.0, 1.5)
-        self._backoff = min(BACKOFF_MOST, 2 * self._backoff)
-        self._held_until = max(self._held_until, self._clock.monotonic() + pause)
-        return self._held_until
+        self._backoff = min(MAX_BACKOFF_SECONDS, 2 * self._backoff)
+        self._backoff_until = max(self._backoff_until, self._clock.monotonic() + pause)
+        return self._backoff_until
 
-    def accepted(self) -> None:
+    def reset_backoff(self) -> None:
         """Take note that the store delivers."""
-        self._backoff = BACKOFF_FIRST
+        self._backoff = MIN_BACKOFF_SECONDS
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -144,7 +144,7 @@
     for first in range(0, len(loads), batch):
         state = await _fetch(port, staging, loads[first : first + batch], budget, clock)
     while not state.holds(staging.new.id):
-        await anyio.sleep(ASK_AGAIN)
+        await anyio.sleep(POLL_SECONDS)
         state = await _prepare(port, staging)
 
 
@@ -161,10 +161,10 @@
 
 async def _prepare(port: RankPort, staging: Staging) -> RankState:
     while True:
-        reply = await _try(port, Prepare(term=staging.term, map=staging.new))
+        reply = await _send_order(port, Prepare(term=staging.term, map=staging.new))
         if reply is not None and reply.code is Code.OK:
             return reply.state
-        await anyio.sleep(ASK_AGAIN)
+        await anyio.sleep(POLL_SECONDS)
 
 
 async def _fetch(
@@ -178,22 +178,22 @@
     size = len(loads) * staging.expert_bytes
     while True:
         await _sleep_until(budget.reserve(size), clock)
-        reply = await _try(port, order)
+        reply = await _send_order(port, order)
         match reply:
             case Reply(code=Code.OK, state=state):
-                budget.accepted()
+                budget.reset_backoff()
                 return state
             case Reply(code=Code.STORE_BUSY, retry_after=retry_after):
-                await _sleep_until(budget.refused(retry_after), clock)
+                await _sleep_until(budget.back_off(retry_after), clock)
             case Reply(code=Code.ORDER_REFUSED):
                 # The rank was replaced, or another decider prepared another map: say it again.
                 await _prepare(port, staging)
-                await anyio.sleep(ASK_AGAIN)
+                await anyio.sleep(POLL_SECONDS)
             case _:
-                await anyio.sleep(ASK_AGAIN)
+                await anyio.sleep(POLL_SECONDS)
 
 
-async def _try(port: RankPort, order: Prepare | Fetch) -> Reply | None:
+async def _send_order(port: RankPort, order: Prepare | Fetch) -> Reply | None:
     try:
         reply = await port.order(order)
     except GroupError:
--- a/carawayhub/groups/status.py
+++ b/carawayhub/groups/status.py
@@ -101,7 +101,7 @@
 GroupEvent = MapChanged | MapKept | GainMeasured | ChangeSettled | GroupFormed | GroupBroken
 
 
-def record(trail: AuditTrail, group: str, event: GroupEvent) -> None:
+def record_event(trail: AuditTrail, group: str, event: GroupEvent) -> None:
     """Write ``event`` to the audit trail."""
     before, after, reason = _texts(event)
     trail.record(Subject.GROUP, group, before, after, reason)
--- a/carawayhub/process/member.py
+++ b/carawayhub/process/member.py
@@ -138,7 +138,7 @@
         self._role = role
         exchange = Exchange(self.identity, self.knowledge, role, self._book, self._clock)
         self._exchange = exchange
-        self.knowledge.in_force.subscribe(self._named.configured)
+        self.knowledge.in_force.subscribe(self._named.apply_configuration)
         self.knowledge.in_force.subscribe(self._configured)
         self._watch_alone_at_first()
         shared = (
@@ -309,7 +309,7 @@
 
     async def _confirm_decider(self, sender: str, req: LeaseRequest) -> LeaseReply:
         asking = Holder(req.endpoint, req.agent, req.vm)
-        return LeaseReply(named_seconds=self._named.seconds(req.group, asking))
+        return LeaseReply(named_seconds=self._named.seconds_named(req.group, asking))
 
     async def _files(self, sender: str, req: FilesRequest) -> FilesReply:
         return self.knowledge.sync.files(req)
--- a/tests/group_bench.py
+++ b/tests/group_bench.py
@@ -19,15 +19,15 @@
     full_read_interval=0.1,
     decision_interval=0.01,
     lead_steps=20,
-    agree_within=0.2,
+    agree_timeout=0.2,
     lost_after=0.6,
-    stage_within=30.0,
-    stand_down=0.02,
+    stage_timeout=30.0,
+    overtaken_pause=0.02,
     staging_rate=10_000_000.0,
 )
 
 
-class Chooser:
+class FakePolicy:
     """Asks for one change at a time: whatever ``rows`` is set to."""
 
     def __init__(self):
@@ -67,7 +67,7 @@
     def situation(self):
         return Situation()
 
-    async def permitted(self):
+    async def wait_until_permitted(self):
         return None
 
 
@@ -104,11 +104,11 @@
             expert_bytes=EXPERT_BYTES,
         )
         ports = ports or [FaultyPort(StandInPort(rank)) for rank in self.ranks]
-        chooser = Chooser()
+        map_policy = FakePolicy()
         made = GroupDecider(
-            config, version, ports, chooser, Signals(), self.clock, self.trail, self.rng, options
+            config, version, ports, map_policy, Signals(), self.clock, self.trail, self.rng, options
         )
-        made.ports, made.chooser = ports, chooser
+        made.ports, made.map_policy = ports, map_policy
         return made
 
     @asynccontextmanager
--- a/tests/test_groups_agent.py
+++ b/tests/test_groups_agent.py
@@ -118,7 +118,7 @@
             await bench.until_steps(200)
             self.assertTrue(decider.status.formed)
             leased[0] = True
-            decider.chooser.rows = bench.SECOND
+            decider.map_policy.rows = bench.SECOND
             await bench.until_on(bench.SECOND)
 
 
--- a/tests/test_groups_change.py
+++ b/tests/test_groups_change.py
@@ -13,44 +13,44 @@
 class MapChangeTest(unittest.IsolatedAsyncioTestCase):
     """With and without fencing checks; every test ends with no step made under two maps."""
 
-    async def on_both(self, story):
+    async def run_with_and_without_fencing(self, scenario):
         for checks in (True, False):
             with self.subTest(checks_fencing=checks):
                 bench = GroupBench(checks_fencing=checks)
                 async with bench.stepping():
-                    await story(bench)
+                    await scenario(bench)
                 self.assertEqual(bench.group.two_maps(), ())
                 formations = {one.formation for one in bench.group.steps}
                 self.assertEqual(len(formations), 1)
 
     async def test_new_group_forms_and_changes(self):
-        async def story(bench):
+        async def scenario(bench):
             decider = bench.decider()
             async with bench.running(decider):
                 await bench.until_on(bench.FIRST)
-                decider.chooser.rows = bench.SECOND
+                decider.map_policy.rows = bench.SECOND
                 await bench.until_on(bench.SECOND)
                 await bench.until(lambda: decider.status.map_number == 2)
             self.assertTrue(decider.status.formed)
             self.assertEqual(decider.status.digest, bench.ranks[0].state.map.digest)
-            self.assertEqual(decider.chooser.applied_maps, [bench.ranks[0].state.map])
+            self.assertEqual(decider.map_policy.applied_maps, [bench.ranks[0].state.map])
             changed = bench.events()[-1]
             self.assertIn("expected gain 9.000 s, cost 1.000 s; moved 1000 bytes", changed)
 
-        await self.on_both(story)
+        await self.run_with_and_without_fencing(scenario)
 
     async def test_switch_costs_no_step(self):
         """Without faults the verdict is everywhere before the step: no rank waits for it."""
 
-        async def story(bench):
+        async def scenario(bench):
             decider = bench.decider(options=replace(FAST, lead_steps=400))
             async with bench.running(decider):
                 await bench.until_on(bench.FIRST)
-                decider.chooser.rows = bench.SECOND
+                decider.map_policy.rows = bench.SECOND
                 await bench.until_on(bench.SECOND)
             self.assertEqual(bench.group.waits, 0)
 
-        await self.on_both(story)
+        await self.run_with_and_without_fencing(scenario)
 
     async def test_lost_orders_and_replies(self):
         """Orders and replies of the change are lost, one of each kind at each rank.
@@ -59,18 +59,18 @@
         see steps stop if a rank waited for a verdict that nobody repeats.
         """
 
-        async def story(bench):
+        async def scenario(bench):
             decider = bench.decider()
             async with bench.running(decider):
                 await bench.until_on(bench.FIRST)
                 decider.ports[1].lose |= {Prepare, Arm, Commit}
                 decider.ports[2].lose_reply |= {Prepare, Arm, Commit}
-                decider.chooser.rows = bench.SECOND
+                decider.map_policy.rows = bench.SECOND
                 await bench.until_on(bench.SECOND)
                 await bench.until_steps()
             self.assertEqual(decider.ports[1].lose | decider.ports[2].lose_reply, set())
 
-        await self.on_both(story)
+        await self.run_with_and_without_fencing(scenario)
 
     async def test_late_repeats_change_nothing(self):
         """After two changes the network delivers every order ever given once more, newest first.
@@ -79,13 +79,13 @@
         hold them at a step for ever, and callers would wait.
         """
 
-        async def story(bench):
+        async def scenario(bench):
             decider = bench.decider()
             async with bench.running(decider):
                 await bench.until_on(bench.FIRST)
-                decider.chooser.rows = bench.SECOND
+                decider.map_policy.rows = bench.SECOND
                 await bench.until_on(bench.SECOND)
-                decider.chooser.rows = bench.THIRD
+                decider.map_policy.rows = bench.THIRD
                 await bench.until_on(bench.THIRD)
             before = [(rank.state.map, rank.state.formation) for rank in bench.ranks]
             for port in decider.ports:
@@ -96,7 +96,7 @@
             self.assertEqual(after, before)
             self.assertTrue(all(rank.state.armed is None for rank in bench.ranks))
 
-        await self.on_both(story)
+        await self.run_with_and_without_fencing(scenario)
 
     async def test_stalled_rank(self):
         """A rank stops stepping just before a change and goes on after it was committed.
@@ -105,18 +105,18 @@
         group switches at the agreed step.
         """
 
-        async def story(bench):
+        async def scenario(bench):
             decider = bench.decider()
             async with bench.running(decider):
                 await bench.until_on(bench.FIRST)
                 bench.ranks[2].stalled = True
-                decider.chooser.rows = bench.SECOND
+                decider.map_policy.rows = bench.SECOND
                 await bench.until(lambda: all(rank.state.committed for rank in bench.ranks))
                 bench.ranks[2].stalled = False
                 await bench.until_on(bench.SECOND)
                 await bench.until_steps()
 
-        await self.on_both(story)
+        await self.run_with_and_without_fencing(scenario)
 
     async def test_decider_dies_before_all_agreed(self):
         """The decider dies when one rank has agreed; that rank will wait at the step.
@@ -125,13 +125,13 @@
         and frees the one that waits. The old map goes on.
         """
 
-        async def story(bench):
+        async def scenario(bench):
             first = bench.decider()
             async with bench.running(first):
                 await bench.until_on(bench.FIRST)
                 first.ports[1].hold |= {Arm, Withdraw}
                 first.ports[2].hold |= {Arm, Withdraw}
-                first.chooser.rows = bench.SECOND
+                first.map_policy.rows = bench.SECOND
                 await bench.until(lambda: bench.ranks[0].state.armed is not None)
                 await bench.until(lambda: bench.group.waits > 0)
             async with bench.running(bench.decider()):
@@ -139,7 +139,7 @@
                 await bench.until_steps()
             await bench.until_on(bench.FIRST)
 
-        await self.on_both(story)
+        await self.run_with_and_without_fencing(scenario)
 
     async def test_decider_dies_after_all_agreed(self):
         """The decider dies when all ranks have agreed and one knows the verdict.
@@ -148,19 +148,19 @@
         change; to abort it would set the rank that knows the verdict apart.
         """
 
-        async def story(bench):
+        async def scenario(bench):
             first = bench.decider()
             async with bench.running(first):
                 await bench.until_on(bench.FIRST)
                 first.ports[1].hold.add(Commit)
                 first.ports[2].hold.add(Commit)
-                first.chooser.rows = bench.SECOND
+                first.map_policy.rows = bench.SECOND
                 await bench.until(lambda: bench.ranks[0].state.committed)
             async with bench.running(bench.decider()):
                 await bench.until_on(bench.SECOND)
                 await bench.until_steps()
 
-        await self.on_both(story)
+        await self.run_with_and_without_fencing(scenario)
 
     async def test_paused_decider_wakes_beside_its_successor(self):
         """A decider is paused with orders on their way; a new one changes to another map.
@@ -169,19 +169,19 @@
         engines ignore fencing numbers, nothing but the ranks' votes keeps the maps one.
         """
 
-        async def story(bench):
+        async def scenario(bench):
             old = bench.decider()
             async with bench.running(old):
                 await bench.until_on(bench.FIRST)
                 old.ports[1].hold |= {Arm, Withdraw}
-                old.chooser.rows = bench.SECOND
+                old.map_policy.rows = bench.SECOND
                 await bench.until(lambda: bench.ranks[0].state.armed is not None)
                 for port in old.ports:
                     port.cut = True
                 async with bench.running(bench.decider()) as new:
-                    new.chooser.rows = bench.THIRD
+                    new.map_policy.rows = bench.THIRD
                     await bench.until_on(bench.THIRD)
-                    old.chooser.rows = None
+                    old.map_policy.rows = None
                     for port in old.ports:
                         port.cut = False
                         await port.deliver_held()
@@ -189,7 +189,7 @@
                     await bench.until_steps()
             await bench.until_on(bench.THIRD)
 
-        await self.on_both(story)
+        await self.run_with_and_without_fencing(scenario)
 
     async def test_every_order_names_its_decider(self):
         """Orders of two deciders are counted where one gives them all.
@@ -200,7 +200,7 @@
         decider that had been replaced stood still at 28.
         """
 
-        async def story(bench):
+        async def scenario(bench):
             decider = bench.decider()
             async with bench.running(decider):
                 await bench.until_on(bench.FIRST)
@@ -210,7 +210,7 @@
             givers = {order.term.decider for port in decider.ports for order in port.given}
             self.assertEqual(givers, {decider._term.decider})
 
-        await self.on_both(story)
+        await self.run_with_and_without_fencing(scenario)
 
     async def test_change_of_a_stopped_decider_is_settled_before_its_step(self):
         """Callers of a group wait for two seconds at a step that nobody in charge asked for.
@@ -253,19 +253,19 @@
         Each map that comes into force does so at all ranks; the group never stops for good.
         """
 
-        async def story(bench):
+        async def scenario(bench):
             first, second = bench.decider(), bench.decider()
             async with bench.running(first):
                 await bench.until_on(bench.FIRST)
                 async with bench.running(second):
-                    first.chooser.rows, second.chooser.rows = bench.SECOND, bench.THIRD
+                    first.map_policy.rows, second.map_policy.rows = bench.SECOND, bench.THIRD
                     await bench.until(lambda: bench.ranks[0].state.map.number > 2)
-                    first.chooser.rows = None
-                    second.chooser.rows = None
+                    first.map_policy.rows = None
+                    second.map_policy.rows = None
             async with bench.running(bench.decider()):
                 await bench.until_steps()
 
-        await self.on_both(story)
+        await self.run_with_and_without_fencing(scenario)
 
     async def test_partition_while_agreeing(self):
         """The decider loses one rank between its agreement and the verdict.
@@ -274,12 +274,12 @@
         formed. When the link is back, the change is completed and the group takes requests.
         """
 
-        async def story(bench):
+        async def scenario(bench):
             decider = bench.decider()
             async with bench.running(decider):
                 await bench.until_on(bench.FIRST)
                 decider.ports[2].hold |= {Commit}
-                decider.chooser.rows = bench.SECOND
+                decider.map_policy.rows = bench.SECOND
                 await bench.until(lambda: bench.ranks[2].state.armed is not None)
                 decider.ports[2].cut = True
                 await bench.until(lambda: not decider.status.formed)
@@ -289,41 +289,41 @@
                 await bench.until_on(bench.SECOND)
                 await bench.until_steps()
 
-        await self.on_both(story)
+        await self.run_with_and_without_fencing(scenario)
 
     async def test_partition_while_staging(self):
         """The decider loses one rank before any has agreed: the group steps on as if unasked."""
 
-        async def story(bench):
+        async def scenario(bench):
             decider = bench.decider()
             async with bench.running(decider):
                 await bench.until_on(bench.FIRST)
                 decider.ports[2].cut = True
-                decider.chooser.rows = bench.SECOND
+                decider.map_policy.rows = bench.SECOND
                 await bench.until_steps()
                 self.assertTrue(all(rank.state.armed is None for rank in bench.ranks))
                 decider.ports[2].cut = False
                 await bench.until_on(bench.SECOND)
 
-        await self.on_both(story)
+        await self.run_with_and_without_fencing(scenario)
 
     async def test_change_that_not_all_agree_to_is_aborted(self):
         """One rank never hears of the change; it is withdrawn, and later orders find it barred."""
 
-        async def story(bench):
+        async def scenario(bench):
             decider = bench.decider()
             async with bench.running(decider):
                 await bench.until_on(bench.FIRST)
                 decider.ports[1].hold.add(Arm)
-                decider.chooser.rows = bench.SECOND
+                decider.map_policy.rows = bench.SECOND
                 await bench.until(lambda: any("not all ranks agreed" in e for e in bench.events()))
-                decider.chooser.rows = None
+                decider.map_policy.rows = None
                 self.assertTrue(any(isinstance(one, Abort) for one in decider.ports[0].given))
                 await decider.ports[1].deliver_held()
                 await bench.until_steps()
             await bench.until_on(bench.FIRST)
 
-        await self.on_both(story)
+        await self.run_with_and_without_fencing(scenario)
 
 
 class MalformedRankTest(unittest.IsolatedAsyncioTestCase):
@@ -333,15 +333,15 @@
         """Two ranks' addresses are swapped in the configuration: nothing is ordered."""
         bench = GroupBench()
         ports = bench.decider().ports
-        swapped = [ports[0], _Named(ports[2], 1), _Named(ports[1], 2)]
+        swapped = [ports[0], _RenumberedPort(ports[2], 1), _RenumberedPort(ports[1], 2)]
         decider = bench.decider(ports=swapped)
         with anyio.fail_after(10):
             with self.assertRaisesRegex(Exception, "rank 1 says it is 2"):
-                await decider.tend()
+                await decider.reconcile()
         self.assertTrue(all(rank.state.formation is None for rank in bench.ranks))
 
 
-class _Named:
+class _RenumberedPort:
     def __init__(self, port, rank):
         self.rank = rank
         self.order = port.order
--- a/tests/test_groups_lease.py
+++ b/tests/test_groups_lease.py
@@ -9,14 +9,14 @@
 from carawayhub.config.model import Configuration
 from carawayhub.groups.lease import (
     LEASE_SECONDS,
-    MOST_WITNESSES,
-    NAMED_SECONDS,
+    MAX_WITNESSES,
+    MIN_NAMED_SECONDS,
     NOT_NAMED,
     Holder,
     Lease,
     NamedDeciders,
-    holder,
-    witnesses,
+    lease_holder,
+    select_witnesses,
 )
 
 HISTORIES = 400
@@ -61,7 +61,7 @@
     def confirm(self, *names: str) -> None:
         """Let witnesses confirm that they have named the agent for long."""
         for name in names:
-            self.lease.heard(name, self.clock.monotonic(), NAMED_SECONDS)
+            self.lease.record_confirmation(name, self.clock.monotonic(), MIN_NAMED_SECONDS)
 
     def test_one_witness_is_not_enough(self) -> None:
         """Guards against orders on the word of one peer that is cut off itself."""
@@ -74,8 +74,8 @@
         """Guards against an answer that lay in the socket while the agent was suspended."""
         asked_at = self.clock.monotonic()
         self.clock.advance(LEASE_SECONDS)
-        self.lease.heard("a", asked_at, NAMED_SECONDS)
-        self.lease.heard("b", asked_at, NAMED_SECONDS)
+        self.lease.record_confirmation("a", asked_at, MIN_NAMED_SECONDS)
+        self.lease.record_confirmation("b", asked_at, MIN_NAMED_SECONDS)
         self.assertFalse(self.lease.valid)
 
     def test_it_is_renewed_and_lapses(self) -> None:
@@ -90,12 +90,12 @@
     def test_agent_that_was_named_a_moment_ago_waits(self) -> None:
         """Guards against a successor that begins while the agent before it may still order."""
         for name in ("a", "b", "c"):
-            self.lease.heard(name, self.clock.monotonic(), NAMED_SECONDS - 0.1)
+            self.lease.record_confirmation(name, self.clock.monotonic(), MIN_NAMED_SECONDS - 0.1)
         self.assertFalse(self.lease.valid)
 
     def test_witness_that_names_another_takes_its_word_back(self) -> None:
         self.confirm("a", "b")
-        self.lease.heard("b", self.clock.monotonic(), NOT_NAMED)
+        self.lease.record_confirmation("b", self.clock.monotonic(), NOT_NAMED)
         self.assertFalse(self.lease.valid)
 
     def test_words_of_former_witnesses_do_not_count(self) -> None:
@@ -116,30 +116,30 @@
         self.clock = ManualClock(100.0)
         self.named = NamedDeciders(self.clock)
         self.cfg = group_configuration()
-        self.first = holder(self.cfg, self.cfg.groups["wide"])
+        self.first = lease_holder(self.cfg, self.cfg.groups["wide"])
 
     def test_time_runs_on_through_versions_that_name_the_same_agent(self) -> None:
-        self.named.configured(self.cfg)
+        self.named.apply_configuration(self.cfg)
         self.clock.advance(5.0)
-        self.named.configured(dataclasses.replace(self.cfg, version=9))
-        self.assertEqual(self.named.seconds("wide", self.first), 5.0)
+        self.named.apply_configuration(dataclasses.replace(self.cfg, version=9))
+        self.assertEqual(self.named.seconds_named("wide", self.first), 5.0)
 
     def test_another_agent_counts_from_its_version(self) -> None:
-        self.named.configured(self.cfg)
+        self.named.apply_configuration(self.cfg)
         self.clock.advance(5.0)
         later = replaced(self.cfg, "vm-new")
-        self.named.configured(later)
+        self.named.apply_configuration(later)
         self.clock.advance(1.0)
-        second = holder(later, later.groups["wide"])
-        self.assertEqual(self.named.seconds("wide", second), 1.0)
-        self.assertEqual(self.named.seconds("wide", self.first), NOT_NAMED)
+        second = lease_holder(later, later.groups["wide"])
+        self.assertEqual(self.named.seconds_named("wide", second), 1.0)
+        self.assertEqual(self.named.seconds_named("wide", self.first), NOT_NAMED)
 
     def test_unknown_groups_and_agents_are_not_named(self) -> None:
-        self.assertEqual(self.named.seconds("wide", self.first), NOT_NAMED)
-        self.named.configured(self.cfg)
+        self.assertEqual(self.named.seconds_named("wide", self.first), NOT_NAMED)
+        self.named.apply_configuration(self.cfg)
         elsewhere = dataclasses.replace(self.first, vm="vm-old")
-        self.assertEqual(self.named.seconds("wide", elsewhere), NOT_NAMED)
-        self.assertEqual(self.named.seconds("other", self.first), NOT_NAMED)
+        self.assertEqual(self.named.seconds_named("wide", elsewhere), NOT_NAMED)
+        self.assertEqual(self.named.seconds_named("other", self.first), NOT_NAMED)
 
 
 class WitnessesTest(unittest.TestCase):
@@ -149,14 +149,14 @@
         for endpoints, entries in ((2, 1), (2, 2), (2, 7), (4, 40)):
             cfg = group_configuration(endpoints, entries)
             group = cfg.groups["wide"]
-            found = witnesses(cfg, group)
+            found = select_witnesses(cfg, group)
             self.assertEqual(len(found) % 2, 1)
-            self.assertLessEqual(len(found), MOST_WITNESSES)
+            self.assertLessEqual(len(found), MAX_WITNESSES)
             self.assertNotIn(f"agent {group.endpoints[0]}", {each.name for each in found})
 
     def test_they_are_spread_over_failure_domains(self) -> None:
         cfg = group_configuration(4, 40)
-        found = witnesses(cfg, cfg.groups["wide"])
+        found = select_witnesses(cfg, cfg.groups["wide"])
         counts = [
             sum(each.failure_domain == domain for each in found)
             for domain in {each.failure_domain for each in found}
@@ -169,7 +169,7 @@
         own = cfg.endpoints[cfg.groups["wide"].endpoints[0]].failure_domain
         entries = [name for name, node in cfg.entries.items() if node.failure_domain == own]
         self.assertTrue(entries)
-        found = witnesses(cfg, cfg.groups["wide"])
+        found = select_witnesses(cfg, cfg.groups["wide"])
         self.assertEqual({each.failure_domain for each in found}, {own})
 
 
@@ -191,7 +191,7 @@
         self.names = [f"w{at}" for at in range(count)]
         self.version = dict.fromkeys(self.names, 0)
         self.named = {name: self.started(name) for name in self.names}
-        self.holders = [holder(cfg, cfg.groups["wide"]) for cfg in self.versions]
+        self.holders = [lease_holder(cfg, cfg.groups["wide"]) for cfg in self.versions]
         self.leases = [Lease(self.clock, self.names) for _ in self.holders]
         self.waits = waits
         self.under_way: list[tuple[int, str, float, float]] = []
@@ -200,7 +200,7 @@
     def started(self, name: str) -> NamedDeciders:
         """Return what a witness knows that has just started, perhaps from a stale source."""
         named = NamedDeciders(self.clock)
-        named.configured(self.versions[self.version[name]])
+        named.apply_configuration(self.versions[self.version[name]])
         return named
 
     def step(self) -> None:
@@ -215,19 +215,19 @@
                 at, name, asked_at, seconds = self.under_way.pop(
                     self.rng.randrange(len(self.under_way))
                 )
-                self.leases[at].heard(name, asked_at, seconds)
+                self.leases[at].record_confirmation(name, asked_at, seconds)
             case "learn":
                 self.version[name] = 1
-                self.named[name].configured(self.versions[1])
+                self.named[name].apply_configuration(self.versions[1])
             case "restart":
                 self.version[name] = self.rng.choice((0, self.version[name]))
                 self.named[name] = self.started(name)
 
     def ask(self, at: int, name: str) -> None:
         """Have an agent ask a witness; the answer comes at any later time."""
-        seconds = self.named[name].seconds("wide", self.holders[at])
+        seconds = self.named[name].seconds_named("wide", self.holders[at])
         if not self.waits and seconds >= 0:
-            seconds = NAMED_SECONDS
+            seconds = MIN_NAMED_SECONDS
         self.under_way.append((at, name, self.clock.monotonic(), seconds))
 
     def both_may_order(self) -> bool:
@@ -266,7 +266,7 @@
         cfg = group_configuration()
         first = cfg.endpoints[cfg.groups["wide"].endpoints[0]]
         expected = Holder(first.name, first.agent, first.vm)
-        self.assertEqual(holder(cfg, cfg.groups["wide"]), expected)
+        self.assertEqual(lease_holder(cfg, cfg.groups["wide"]), expected)
 
 
 if __name__ == "__main__":
--- a/tests/test_groups_membership.py
+++ b/tests/test_groups_membership.py
@@ -36,7 +36,7 @@
 
         async with bench.stepping(), bench.running(decider):
             await bench.until_on(bench.FIRST)
-            decider.chooser.rows = bench.SECOND
+            decider.map_policy.rows = bench.SECOND
             await bench.until(lambda: decider.status.map_number == 2)
             for times, rank in ((2, bench.ranks[1]), (3, bench.ranks[0])):
                 rank.restart()
@@ -58,9 +58,9 @@
         async with bench.stepping(), bench.running(decider):
             await bench.until_on(bench.FIRST)
             decider.ports[2].hold.add(Commit)
-            decider.chooser.rows = bench.SECOND
+            decider.map_policy.rows = bench.SECOND
             await bench.until(lambda: bench.ranks[2].state.armed is not None)
-            decider.chooser.rows = None
+            decider.map_policy.rows = None
             bench.ranks[2].restart()
             decider.ports[2].hold.clear()
             await bench.until(lambda: len({one.formation for one in bench.group.steps}) == 2)
@@ -87,7 +87,7 @@
                 await bench.until(lambda: new.status.formed)
                 await bench.until_steps()
                 with self.assertRaises(GroupError) as caught:
-                    await old.tend()
+                    await old.reconcile()
                 self.assertEqual(caught.exception.code, Code.CHANGE_OVERTAKEN)
                 await bench.until_steps()
         self.assertEqual(bench.group.two_maps(), ())
@@ -114,7 +114,7 @@
             decider = bench.decider(ports=ports, options=replace(FAST, lead_steps=400))
             async with bench.running(decider):
                 await bench.until_on(bench.FIRST)
-                decider.chooser.rows = bench.SECOND
+                decider.map_policy.rows = bench.SECOND
                 await bench.until_on(bench.SECOND)
             with self.assertRaises(GroupError) as caught:
                 await ports[0].read_map(MapId(9, "none"))
--- a/tests/test_groups_staging.py
+++ b/tests/test_groups_staging.py
@@ -67,14 +67,14 @@
         budget = StoreBudget(1_000.0, clock, random.Random(3))
         pauses = []
         for _ in range(8):
-            until = budget.refused(0.0)
+            until = budget.back_off(0.0)
             pauses.append(until - clock.monotonic())
             clock.advance(pauses[-1])
         self.assertGreaterEqual(pauses[0], 0.5)
         self.assertGreater(pauses[4], 4 * pauses[0])
         self.assertLessEqual(max(pauses), 45.0)
-        budget.accepted()
-        self.assertLess(budget.refused(0.0) - clock.monotonic(), 1.0)
+        budget.reset_backoff()
+        self.assertLess(budget.back_off(0.0) - clock.monotonic(), 1.0)
 
     def test_new_rank_needs_all_that_it_will_hold(self):
         first = ExpertMap(number=1, ranks=2, layers=((0, 0, 1, 2),))
@@ -96,7 +96,7 @@
         async with bench.stepping(), bench.running(decider):
             await bench.until_on(bench.FIRST)
             bench.store.refuse_all = True
-            decider.chooser.rows = bench.SECOND
+            decider.map_policy.rows = bench.SECOND
             await bench.until(lambda: bench.store.refusals > 0)
             await bench.until_steps()
             self.assertTrue(all(rank.state.armed is None for rank in bench.ranks))
@@ -117,7 +117,7 @@
         async with bench.stepping(), bench.running(decider):
             await bench.until_on(bench.FIRST)
             bench.store.refuse_all = True
-            decider.chooser.rows = bench.SECOND
+            decider.map_policy.rows = bench.SECOND
             await bench.until(lambda: bench.store.refusals > 0)
             decider.ports[1].cut = True
             bench.ranks[1].stalled = True
@@ -137,7 +137,7 @@
         interval = 10.0
         options = replace(FAST, full_read_interval=interval, watch_interval=0.25)
 
-        async def story():
+        async def scenario():
             clock = LoopClock()
             bench = GroupBench(clock=clock)
             decider = bench.decider(options=options)
@@ -149,21 +149,21 @@
                 decider.ports[1].cut = True
                 await anyio.sleep(0.9 * interval)
                 bench.store.refuse_all = True
-                decider.chooser.rows = bench.SECOND
+                decider.map_policy.rows = bench.SECOND
                 await bench.until(lambda: not decider.status.formed)
                 self.assertLess(clock.monotonic() - cut_at, interval + 2.0)
                 tasks.cancel_scope.cancel()
 
-        run(story)
+        run(scenario)
 
     async def test_rank_that_never_prepares(self):
         """One rank cannot be told what to stage: the change is given up, the old map goes on."""
         bench = GroupBench()
-        decider = bench.decider(options=replace(FAST, stage_within=0.1))
+        decider = bench.decider(options=replace(FAST, stage_timeout=0.1))
         async with bench.stepping(), bench.running(decider):
             await bench.until_on(bench.FIRST)
             decider.ports[1].hold.add(Prepare)
-            decider.chooser.rows = bench.SECOND
+            decider.map_policy.rows = bench.SECOND
             await bench.until(lambda: any("not staged in time" in e for e in bench.events()))
             await bench.until_steps()
             await bench.until_on(bench.FIRST)
@@ -180,7 +180,7 @@
             async with bench.running(decider):
                 await bench.until_on(bench.FIRST)
                 bench.store.refuse_all = True
-                decider.chooser.rows = bench.SECOND
+                decider.map_policy.rows = bench.SECOND
                 await bench.until(lambda: bench.store.refusals > 0)
             with anyio.fail_after(5):
                 await bench.until_steps()
--- a/tests/test_map_search.py
+++ b/tests/test_map_search.py
@@ -5,39 +5,39 @@
 
 from benchmarks.map_model import Setup, obey_checked, obey_unchecked
 from benchmarks.map_states import search
-from carawayhub.groups.change import Handling, Verdict, Vote, take_over
+from carawayhub.groups.change import ChangeProgress, Verdict, Vote, take_over
 from carawayhub.groups.orders import Abort, Arm
 from carawayhub.standins.rank_rules import Answer
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class CommitsEarly(Handling):
+class CommitsEarly(ChangeProgress):
     """Commits as soon as one rank has agreed."""
 
     @property
     def verdict(self):
-        return Verdict.COMMIT if Vote.AGREED in self.votes else Handling.verdict.fget(self)
+        return Verdict.COMMIT if Vote.AGREED in self.votes else ChangeProgress.verdict.fget(self)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class AbortsOnTimeout(Handling):
+class AbortsOnTimeout(ChangeProgress):
     """Aborts a change it has given up, though no rank is known to have barred it."""
 
     def order(self, rank):
         if self.withdrawing and self.verdict is Verdict.OPEN:
             return Abort(term=self.term, change=self.change)
-        return Handling.order(self, rank)
+        return ChangeProgress.order(self, rank)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class AbortsWhatItFinds(Handling):
+class AbortsWhatItFinds(ChangeProgress):
     """A restarted decider that aborts what has no commit yet and relies on fencing alone."""
 
     @property
     def verdict(self):
         if self.withdrawing and self.term.number == 2 and Vote.COMMITTED not in self.votes:
             return Verdict.ABORT
-        return Handling.verdict.fget(self)
+        return ChangeProgress.verdict.fget(self)
 
 
 def aborts_what_it_finds(term, states):
