--- a/carawayhub/groups/__init__.py
+++ b/carawayhub/groups/__init__.py
@@ -1,1 +1,1 @@
-"""Lock-step groups: expert maps, their change, and rebalancing decisions."""
+"""Lock-step groups: expert maps, map changes and rebalancing decisions."""
--- a/carawayhub/groups/change.py
+++ b/carawayhub/groups/change.py
@@ -1,9 +1,9 @@
-"""How one change of the map ends: the rules that every decider follows, old or new.
+"""How the outcome of a map change is decided: the rules that every decider follows.
 
-Each rank has a vote on a change that it casts once: it agrees (armed), or its step is barred. The
-verdict follows from the votes alone: commit if all have agreed, abort if one has barred. Whoever
-reads the votes, in whatever order and however late, comes to the same verdict, so that two
-deciders that know nothing of each other cannot do harm, with or without fencing checks.
+Each rank votes once on a change: it agrees to it (armed), or bars its step. The verdict depends on
+the votes alone: commit if all ranks have agreed, abort if one has barred the step. Every decider
+that reads the votes, in any order and at any time, reaches the same verdict, so two deciders that
+are unaware of each other are safe, with or without fencing checks.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -24,7 +24,7 @@
 
 
 class Vote(IntEnum):
-    """Where one rank stands towards one change."""
+    """Vote of one rank on one change."""
 
     UNREAD = 0
     OPEN = 1
@@ -34,7 +34,7 @@
 
 
 class Verdict(IntEnum):
-    """How a change ends."""
+    """Outcome of a change."""
 
     OPEN = 0
     COMMIT = 1
@@ -42,9 +42,9 @@
 
 
 def vote(change: Change, state: RankState) -> Vote:
-    """Return where a rank in ``state`` stands towards ``change``.
+    """Return the vote on ``change`` of a rank in ``state``.
 
-    BARRED and COMMITTED are final. AGREED gives way only to COMMITTED, or to BARRED after another
+    BARRED and COMMITTED are final. AGREED changes only to COMMITTED, or to BARRED after another
     rank has barred the change.
     """
     if state.formation is None or state.formation.id != change.formation:
@@ -59,10 +59,10 @@
 
 
 def verdict(votes: Iterable[Vote]) -> Verdict:
-    """Return how a change with these votes of all ranks ends.
+    """Return the verdict on a change from the votes of all ranks.
 
-    One committed rank is proof that all had agreed; one barred rank is proof that not all ever
-    will. Votes read at different moments may be mixed, since they do not swing back.
+    One committed rank proves that all have agreed; one barred rank proves that not all ever will.
+    Votes read at different times may be combined, since a final vote never changes.
     """
     cast = tuple(votes)
     if Vote.COMMITTED in cast or all(one is Vote.AGREED for one in cast):
@@ -74,13 +74,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ChangeProgress:
-    """What one decider knows of one change; driven by one message at a time.
+    """What one decider knows about one change; updated by one reply at a time.
 
     Attributes:
         term: Fencing number of the decider.
         change: The change.
-        votes: What it last read of each rank, by rank.
-        withdrawing: Whether it no longer wants the change; all ranks may have agreed nonetheless.
+        votes: Last vote read from each rank, by rank.
+        withdrawing: Whether the decider no longer wants the change; all ranks may still agree.
     """
 
     term: Term
@@ -90,21 +90,21 @@
 
     @property
     def verdict(self) -> Verdict:
-        """How the change ends, as far as the votes read so far tell."""
+        """Verdict on the change from the votes read so far."""
         return verdict(self.votes)
 
     def with_state(self, state: RankState) -> "ChangeProgress":
-        """Return what is known after a rank has told its state."""
+        """Return a copy updated with the reported state of a rank."""
         cast = vote(self.change, state)
         votes = self.votes[: state.rank] + (cast,) + self.votes[state.rank + 1 :]
         return replace(self, votes=votes)
 
     def withdraw(self) -> "ChangeProgress":
-        """Return the same with the change no longer wanted."""
+        """Return a copy that no longer wants the change."""
         return replace(self, withdrawing=True)
 
     def order(self, rank: int) -> Order | None:
-        """Return what ``rank`` has to be told next, None where it has nothing to be told."""
+        """Return the next order for ``rank``, or None if it needs none."""
         cast = self.votes[rank]
         if cast is Vote.UNREAD:
             return Read(term=self.term)
@@ -132,14 +132,14 @@
             case Vote.AGREED:
                 return Abort(term=self.term, change=self.change)
             case Vote.OPEN:
-                # A late Arm may still come here and would hold the rank up at the step: bar it.
+                # A late Arm may still arrive and would block the rank at the step: bar it.
                 return Withdraw(term=self.term, change=self.change)
             case _:
                 return None
 
     def _vote_order(self, cast: Vote) -> Order | None:
         if cast is Vote.AGREED:
-            # Another decider may be settling the change: read on, to learn of it.
+            # Another decider may settle the change: keep reading to detect that.
             return Read(term=self.term)
         if self.withdrawing:
             return Withdraw(term=self.term, change=self.change)
@@ -150,16 +150,16 @@
 
 
 def begin_change(term: Term, change: Change, ranks: int) -> ChangeProgress:
-    """Return the handling of a change that no rank has been told of yet."""
+    """Return the progress of a change that no rank has received yet."""
     return ChangeProgress(term=term, change=change, votes=(Vote.OPEN,) * ranks)
 
 
 def take_over(term: Term, states: Mapping[int, RankState]) -> ChangeProgress | None:
-    """Return the handling of a change that another decider left behind, None where there is none.
+    """Return the progress of a change left unfinished by another decider, or None.
 
-    A change that some rank is armed for is settled: it is committed where all have agreed, and
-    otherwise the ranks that have not agreed are asked to bar it. One that all ranks have committed
-    to and not yet reached is settled already.
+    A change that some rank is armed for must be settled: it is committed if all ranks have agreed;
+    otherwise the ranks that have not agreed are asked to bar it. A change that all ranks have
+    committed to is settled, even if they have not reached its step.
     """
     armed = {state.armed for state in states.values() if state.armed is not None}
     if not armed:
--- a/carawayhub/groups/decider.py
+++ b/carawayhub/groups/decider.py
@@ -1,8 +1,9 @@
-"""The decider of a lock-step group: the task that the agent beside rank 0 runs.
+"""The decider of a lock-step group: a task of the agent on the VM of rank 0.
 
-It stands beside rank 0 because the group cannot step without rank 0, so nothing is lost when both
-go together, and no election is needed. It keeps nothing that matters: a new one reads the ranks
-and goes on from there. ``docs/design/map-change.md`` argues why two of them do no harm.
+It runs on the VM of rank 0 because the group cannot step without rank 0: losing both at once costs
+nothing extra, and no election is needed. It has no durable state: a new decider reads the state of
+the ranks and continues from it. ``docs/design/map-change.md`` explains why two concurrent deciders
+are safe.
 """
 
 import math
@@ -42,39 +43,39 @@
 from carawayhub.output.audit import AuditTrail
 
 DECIDER_BITS = 62
-STALLED_POLLS = 2
+MAX_STALLED_POLLS = 2
 
 STATUS_GRACE_SECONDS = 5.0
-"""Seconds without a lease for which a group that stepped is still said to step."""
+"""Time without a lease after which a formed group is reported as not formed."""
 
 
 class MapPolicy(Protocol):
-    """Decides whether and how to change the map; ``groups.policy.Policy`` is one."""
+    """Decides whether and how to change the map; implemented by ``groups.policy.Policy``."""
 
     def observe(self, counters: ExpertCounters) -> object:
-        """Take a report of counters in."""
+        """Record a report of counters."""
 
     def decide(self, current: ExpertMap, situation: Situation) -> Decision:
-        """Return what to do with the map in force."""
+        """Return whether to keep or replace the current map."""
 
     def applied(self, old: ExpertMap, decision: Rebalance) -> None:
-        """Take note that a decision is in force."""
+        """Record that the map of a decision is in force."""
 
     def measured(self) -> Sequence[Outcome]:
-        """Return the outcomes whose measurement ended since the last call."""
+        """Return the outcomes whose measurement has finished since the last call."""
 
 
 class GroupSignals(Protocol):
-    """What the agent knows of the group beside its ranks' states."""
+    """What the agent knows about the group besides the state of its ranks."""
 
     async def counters(self) -> ExpertCounters | None:
-        """Return the newest counters of tokens per expert, None where there are none."""
+        """Return the latest token counters per expert, or None if there are none."""
 
     def situation(self) -> Situation:
-        """Return load, drain and what else the policy weighs."""
+        """Return the load, the drain state and the other inputs of the policy."""
 
     async def wait_until_permitted(self) -> None:
-        """Return once this agent may give orders."""
+        """Wait until this agent may issue orders."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -82,16 +83,16 @@
     """Timing of a decider, in seconds unless named otherwise.
 
     Attributes:
-        watch_interval: Time between two looks at rank 0.
-        full_read_interval: Time between two looks at all ranks.
+        watch_interval: Time between two polls of rank 0.
+        full_read_interval: Time between two polls of all ranks.
         decision_interval: Time between two decisions.
         lead_steps: Steps between arming and the switch; all orders should arrive within them.
-        agree_within: Time for all ranks to agree to a change before it is withdrawn.
-        lost_after: Silence of a rank after which the group is taken out of routing.
-        stage_within: Time for staging before a change is given up.
-        form_within: Time for all ranks to join a formation before they are read again.
-        stand_down: Time for which nothing is ordered after another decider was met.
-        staging_rate: Bytes a second that the group may fetch from the weight store.
+        agree_timeout: Time for all ranks to agree to a change before it is withdrawn.
+        lost_after: Time without a reply from a rank after which the group is taken out of routing.
+        stage_timeout: Time for staging before a change is given up.
+        form_timeout: Time for all ranks to join a formation before they are read again.
+        overtaken_pause: Time without orders after another decider was detected.
+        staging_rate: Bytes per second that the group may fetch from the weight store.
     """
 
     watch_interval: float = 1.0
@@ -107,17 +108,17 @@
 
 
 class GroupDecider:
-    """Keeps one group in one formation and changes its map.
+    """Keeps all ranks of a group in one formation and changes its map.
 
     Args:
-        group: The group as configured.
-        version: Configuration version that says so.
-        ports: Its ranks, in order.
-        chooser: The policy.
-        signals: What the policy is told.
+        group: Configuration of the group.
+        version: Configuration version that ``group`` is from.
+        ports: The ranks of the group, in order.
+        map_policy: Decides about map changes.
+        signals: Inputs of the policy.
         clock: Source of time.
         trail: Where events are recorded.
-        rng: For the decider's own number and for spreading retries.
+        rng: Source of the decider's random number and of retry jitter.
         options: Timing.
 
     ``status`` may be read at any time.
@@ -152,7 +153,7 @@
         self._read_all_at = clock.monotonic()
 
     async def run(self) -> None:
-        """Tend the group until cancelled; cancelling is safe at any point."""
+        """Manage the group until cancelled; cancelling is safe at any point."""
         while True:
             try:
                 await self.reconcile()
@@ -166,26 +167,26 @@
                 await anyio.sleep(options.overtaken_pause if fenced else options.watch_interval)
 
     async def reconcile(self) -> None:
-        """Read all ranks, mend what is found, and watch the group until it needs mending again.
+        """Read all ranks, repair the group, and watch it until it needs a repair again.
 
         Raises:
-            GroupError: The group cannot be mended now, or another decider has it.
+            GroupError: The group cannot be repaired now, or another decider is in charge of it.
         """
         states = await self._claim()
         if not is_formed(states, self._group.ranks):
             await self._form(states)
             states = await self._read()
-        while (left := take_over(self._term, states)) is not None:
-            self.status.changing = f"settling map {left.change.target}"
-            verdict = await self._settle(left, -math.inf)
+        while (unfinished := take_over(self._term, states)) is not None:
+            self.status.changing = f"settling map {unfinished.change.target}"
+            verdict = await self._settle(unfinished, -math.inf)
             committed = verdict is Verdict.COMMIT
-            self._record(ChangeSettled(target=left.change.target, committed=committed))
+            self._record(ChangeSettled(target=unfinished.change.target, committed=committed))
             states = await self._read()
         await self._adopt(states)
         await self._watch()
 
     async def decide_once(self) -> Decision | None:
-        """Ask the policy and carry its decision out; None where there are no counters yet."""
+        """Carry out the decision of the policy and return it, or None if no map is in force yet."""
         current = self._current
         counters = await self._signals.counters()
         if counters is not None:
@@ -205,10 +206,10 @@
         return decision
 
     async def _claim(self) -> dict[int, RankState]:
-        """Read all ranks and have them promise to obey no earlier decider than this one.
+        """Read all ranks and have them promise to obey no decider with a lower term.
 
-        The first reading asks for no promise, yet names this decider: without a name, the readings
-        of the decider in charge could not be told from those of one that should be silent.
+        The first read asks for no promise but carries the number of this decider. Without it, the
+        reads of the decider in charge look the same as those of a decider that must not issue any.
         """
         states = await self._read(Term(0, self._term.decider))
         highest = max(state.promised.number for state in states.values())
@@ -216,18 +217,20 @@
             self._term = Term(highest + 1, self._term.decider)
         newest = newest_version(states)
         if newest > self._version:
-            raise GroupError(Code.CHANGE_OVERTAKEN, f"formed by configuration {newest}")
+            raise GroupError(
+                Code.CHANGE_OVERTAKEN, f"the group was formed by configuration version {newest}"
+            )
         return await self._read()
 
     async def _read(self, term: Term | None = None) -> dict[int, RankState]:
         """Return the state of every rank.
 
         Raises:
-            GroupError: RANK_UNREACHABLE where not all answer, CHANGE_OVERTAKEN where one obeys
-                another decider.
+            GroupError: RANK_UNREACHABLE if a rank does not answer, CHANGE_OVERTAKEN if a rank has
+                promised to obey another decider.
         """
         order = Read(term=self._term if term is None else term)
-        # A read with term number 0 asks for no promise that counts, and must not be fenced.
+        # A read with term number 0 asks for no promise, so being fenced is not an error.
         replies = await send_orders(
             self._ports, {port.rank: order for port in self._ports}, fenced_is_error=term is None
         )
@@ -243,7 +246,7 @@
         self.status.changing = f"joining under map {first.id}"
         await self._stage(None, first)
         self._formations += 1
-        # The random part keeps the name from being used twice by two deciders of one term.
+        # The random number keeps two deciders with the same term number from using the same name.
         name = f"{self._version}-{self._term.number}-{self._term.decider:x}-{self._formations}"
         formation = Formation(
             id=name,
@@ -255,9 +258,10 @@
         await form(self._ports, states, formation, self._term, self._clock, deadline)
 
     async def _adopt(self, states: Mapping[int, RankState]) -> None:
-        """Take the map that the ranks go to as the one in force, and let requests in.
+        """Set the next map of the ranks as the current map and report the group as formed.
 
-        Members of one formation that wait for no verdict all go to one map, so rank 0 tells it.
+        If no member of a formation waits for a verdict, all have the same next map, so reading
+        rank 0 is enough.
         """
         self._read_all_at = self._clock.monotonic() + self._options.full_read_interval
         state = states[0]
@@ -272,18 +276,18 @@
     async def _watch(self, *, deciding: bool = True) -> None:
         """Decide at each interval; return when the ranks have to be read again.
 
-        Only rank 0 is read often: no rank steps without it, so a rank that waits for a verdict or
-        is gone shows as steps that do not go on at rank 0 as well. One that cannot be reached from
-        here, while the group steps on, shows only when all are read. So that time is one for the
-        decider: were it counted anew when a change begins to stage, one that begins just before it
-        would put it off again, and ranks that are cut off were told of after 20 s, not 10.
+        Only rank 0 is polled often: no rank steps without it, so a rank that waits for a verdict
+        or is gone stalls the steps of rank 0 as well. A rank that is unreachable from here while
+        the group keeps stepping is detected only when all ranks are read. The deadline for that
+        read is kept across calls: restarting it when staging begins would let a change that begins
+        just before the deadline delay the report of unreachable ranks from 10 s to 20 s.
 
-        A change that rank 0 is armed for between two decisions is another decider's, whose orders
-        came late where ranks ignore fencing numbers. Nobody else settles it, and found only once
-        the ranks wait at its step, it holds callers up for as long as two looks take.
+        A change that rank 0 is armed for between two decisions belongs to another decider, whose
+        orders arrived late at ranks that ignore fencing numbers. Nothing else settles it. If it
+        were found only once the ranks wait at its step, callers would be delayed by two polls.
         """
         entered = -1
-        still = 0
+        stalled_polls = 0
         while self._clock.monotonic() < self._read_all_at:
             await anyio.sleep(self._options.watch_interval)
             replies = await send_orders(self._ports, {0: Read(term=self._term)})
@@ -291,8 +295,8 @@
                 return
             if deciding and _awaits_verdict(replies[0].state):
                 return
-            still = still + 1 if replies[0].state.entered == entered else 0
-            if still >= STALLED_POLLS:
+            stalled_polls = stalled_polls + 1 if replies[0].state.entered == entered else 0
+            if stalled_polls >= MAX_STALLED_POLLS:
                 return
             entered = replies[0].state.entered
             if deciding and self._clock.monotonic() >= self._decide_at:
@@ -330,7 +334,7 @@
         )
 
     async def _switch(self, current: ExpertMap, new: ExpertMap) -> Verdict:
-        """Have all ranks agree on a step to switch at, and settle it."""
+        """Ask all ranks to switch at a common step, and settle the change."""
         states = await self._read()
         if not is_formed(states, self._group.ranks):
             raise GroupError(Code.GROUP_BROKEN, "a rank left the formation while staging")
@@ -348,14 +352,14 @@
         return await self._settle(progress, agree_by)
 
     async def _settle(self, progress: ChangeProgress, agree_by: float) -> Verdict:
-        patience = self._options.lost_after
-        return await settle(self._ports, progress, self._clock, agree_by, patience)
+        lost_after = self._options.lost_after
+        return await settle(self._ports, progress, self._clock, agree_by, lost_after)
 
     async def _stage_while_watching(self, old: ExpertMap, new: ExpertMap) -> None:
-        """Stage ``new``, unless the group breaks meanwhile.
+        """Stage ``new``, unless the group breaks during staging.
 
-        Staging may take minutes. A rank that is lost then would otherwise hold it up until its
-        deadline, while the group cannot step and requests are still sent to it.
+        Staging may take minutes. If it were not watched, losing a rank would block staging until
+        its deadline, while the group cannot step and requests are still routed to it.
         """
         failures: list[GroupError] = []
 
--- a/carawayhub/groups/lease.py
+++ b/carawayhub/groups/lease.py
@@ -1,11 +1,11 @@
 """The lease of the agent that decides for a lock-step group.
 
-An agent can't tell from silence that it still decides: a newer configuration may name another, and
-the agent may have been cut off or suspended since. So it orders only while most witnesses of its
-group, a few processes that every configuration names alike, have lately confirmed it. A witness
-confirms the agent that its own configuration names, and says for how long it has. An agent that was
-named a moment ago waits until the lease of the one before it must have ended. No witness keeps
-anything but its configuration, and one that has restarted counts from its start.
+An agent that receives no update cannot assume that it is still the decider: a newer configuration
+may name another agent while this one was disconnected or suspended. So it issues orders only while
+a majority of the group's witnesses, a few processes that are the same in every configuration, have
+recently confirmed it. A witness confirms the agent that its own configuration names and reports for
+how long it has named it. A newly named agent waits until the lease of its predecessor must have
+expired. A witness stores nothing but its configuration; after a restart it counts from its start.
 """
 
 from collections.abc import Iterable, Sequence
@@ -17,25 +17,25 @@
 from carawayhub.fleet.rendezvous import ranked
 
 LEASE_SECONDS = 3.0
-"""Seconds for which a confirmation holds, counted from when it was asked for: three askings."""
+"""Validity of a confirmation from when it was requested; allows for three requests."""
 
 MIN_NAMED_SECONDS = LEASE_SECONDS + 0.5
-"""Seconds for which a witness must have named an agent: the lease of the one before it, and the
-time that an order takes on its way."""
+"""Time for which a witness must have named an agent: the lease of its predecessor and the transit
+time of an order."""
 
 MAX_WITNESSES = 3
-"""Witnesses of one group: one may be lost, and each more costs its agent a call a second."""
+"""Witnesses of a group: tolerates the loss of one; each further one costs a call a second."""
 
 NOT_NAMED = -1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """An agent that decides for a group, as a configuration names it.
+    """The agent that a configuration names as the decider of a group.
 
     Attributes:
-        endpoint: Name of the endpoint that holds rank 0.
-        agent: ``ip:port`` of the agent beside it.
+        endpoint: Name of the endpoint that runs rank 0.
+        agent: ``ip:port`` of the agent on the same VM.
         vm: Name of the VM of both.
     """
 
@@ -49,9 +49,9 @@
     """A process that confirms a group's decider.
 
     Attributes:
-        name: Its name.
-        failure_domain: Where it stands.
-        address: Where it takes calls.
+        name: Name of the process.
+        failure_domain: Failure domain that it runs in.
+        address: Address at which it accepts calls.
     """
 
     name: str
@@ -60,7 +60,7 @@
 
 
 class NamedDeciders:
-    """Since when the configuration in force at one process names each group's decider.
+    """How long the configuration of a process has named the decider of each group.
 
     Args:
         clock: The clock of that process.
@@ -73,7 +73,7 @@
         self._named: dict[str, tuple[Holder, float]] = {}
 
     def apply_configuration(self, cfg: Configuration) -> None:
-        """Take a version that came into force."""
+        """Apply a configuration version that came into force."""
         now = self._clock.monotonic()
         before = self._named
         self._named = {}
@@ -84,19 +84,19 @@
             known, since = before.get(group.name, (None, now))
             self._named[group.name] = named, since if known == named else now
 
-    def seconds_named(self, group: str, asking: Holder) -> float:
-        """Return for how long an agent has been named, ``NOT_NAMED`` where it is not."""
+    def seconds_named(self, group: str, candidate: Holder) -> float:
+        """Return for how long an agent has been named, or ``NOT_NAMED`` if it is not."""
         named, since = self._named.get(group, (None, 0.0))
-        return self._clock.monotonic() - since if named == asking else NOT_NAMED
+        return self._clock.monotonic() - since if named == candidate else NOT_NAMED
 
 
 class Lease:
-    """What the witnesses of a group have confirmed to one agent.
+    """Confirmations that one agent has received from the witnesses of its group.
 
     Args:
-        clock: A clock that runs on while the process is suspended.
-        witnesses: Names of the witnesses; without any there is nobody to tell of a successor, and
-            the lease never ends.
+        clock: A clock that keeps running while the process is suspended.
+        witnesses: Names of the witnesses. Without witnesses none can report a successor, and the
+            lease never expires.
     """
 
     __slots__ = ("_clock", "_confirmed", "_witnesses")
@@ -107,18 +107,18 @@
         self._confirmed: dict[str, float] = {}
 
     def change_witnesses(self, witnesses: Iterable[str]) -> None:
-        """Take another set of witnesses; what those in both confirmed stays."""
+        """Replace the set of witnesses; confirmations of those that remain are kept."""
         self._witnesses = frozenset(witnesses)
         self._confirmed = {
             name: asked_at for name, asked_at in self._confirmed.items() if name in self._witnesses
         }
 
     def record_confirmation(self, witness: str, asked_at: float, seconds: float) -> None:
-        """Take an answer.
+        """Record the reply of a witness.
 
         Args:
-            witness: Who gave it.
-            asked_at: Clock reading when it was asked for.
+            witness: Name of the witness.
+            asked_at: Timestamp of the request.
             seconds: For how long the witness has named this agent.
         """
         if witness not in self._witnesses:
@@ -130,7 +130,7 @@
 
     @property
     def ends_at(self) -> float:
-        """Clock reading from which no order may be given."""
+        """Timestamp from which no order may be issued."""
         if not self._witnesses:
             return float("inf")
         needed = len(self._witnesses) // 2 + 1
@@ -139,50 +139,52 @@
 
     @property
     def valid(self) -> bool:
-        """Whether an order may be given now."""
+        """Whether an order may be issued now."""
         return self._clock.monotonic() < self.ends_at
 
     def ages(self) -> dict[str, float]:
-        """Return by witness the seconds since the newest confirmation was asked for."""
+        """Return the seconds since the latest confirmation was requested, by witness."""
         now = self._clock.monotonic()
         return {name: round(now - asked_at, 3) for name, asked_at in self._confirmed.items()}
 
 
 def lease_holder(cfg: Configuration, group: ModelGroup) -> Holder:
-    """Return the agent that a configuration names to decide for a group."""
+    """Return the agent that a configuration names as the decider of a group."""
     endpoint = cfg.endpoints[group.endpoints[0]]
     return Holder(endpoint.name, endpoint.agent, endpoint.vm)
 
 
 def select_witnesses(cfg: Configuration, group: ModelGroup) -> tuple[Witness, ...]:
-    """Return who confirms the decider of a group.
+    """Return the processes that confirm the decider of a group.
 
-    They are entries and further agents of the group in the failure domains where it runs: a group
-    that is cut off as a whole goes on, and one that is cut in two can't step anyway. Their number
-    is odd, since one more than an odd number only adds a process that must answer.
+    They are entries and other agents of the group in the failure domains where it runs: a group
+    that is disconnected as a whole keeps running, and a group that is split cannot step anyway.
+    Their number is odd, since adding one to an odd number only adds a process that must answer.
     """
     domains = {cfg.endpoints[name].failure_domain for name in group.endpoints}
     entries = [
         Witness(f"entry {node.name}", node.failure_domain, Address.parse(node.peer_address))
         for node in cfg.entries.values()
     ]
-    near = [each for each in entries if each.failure_domain in domains] or entries
+    preferred_entries = [each for each in entries if each.failure_domain in domains] or entries
     others = [cfg.endpoints[name] for name in group.endpoints[1:]]
     agents = [
         Witness(f"agent {each.name}", each.failure_domain, Address.parse(each.agent))
         for each in others
     ]
-    chosen = _spread(group.name, [*near, *agents])[:MAX_WITNESSES]
+    chosen = _spread(group.name, [*preferred_entries, *agents])[:MAX_WITNESSES]
     return tuple(chosen if len(chosen) % 2 else chosen[:-1])
 
 
 def _spread(group: str, candidates: Sequence[Witness]) -> list[Witness]:
-    """Return candidates so that each beginning of the list is spread over failure domains."""
+    """Order candidates so that every prefix of the list is spread over the failure domains."""
     by_name = {each.name: each for each in candidates}
-    taken: dict[str, int] = {}
-    places: list[tuple[int, int, Witness]] = []
+    domain_counts: dict[str, int] = {}
+    sort_keys: list[tuple[int, int, Witness]] = []
     for at, name in enumerate(ranked(f"lease {group}", by_name)):
         each = by_name[name]
-        turn = taken[each.failure_domain] = taken.get(each.failure_domain, 0) + 1
-        places.append((turn, at, each))
-    return [each for _, _, each in sorted(places, key=lambda place: place[:2])]
+        domain_rank = domain_counts[each.failure_domain] = (
+            domain_counts.get(each.failure_domain, 0) + 1
+        )
+        sort_keys.append((domain_rank, at, each))
+    return [each for _, _, each in sorted(sort_keys, key=lambda sort_key: sort_key[:2])]
--- a/carawayhub/groups/membership.py
+++ b/carawayhub/groups/membership.py
@@ -1,9 +1,9 @@
-"""Whether the ranks of a group are in one formation, and how they come into one.
+"""Checks whether the ranks of a group are in one formation, and forms a new one.
 
 A rank that restarts, joins or is replaced is in no formation, and the others cannot step without
-it. The group is then taken out of routing, all ranks join a new formation that begins with one
-map, and it is routed to again. Ranks that step are always members of one formation, and a
-formation begins with one map, so no step is made under two while the orders to join arrive.
+it. The group is then removed from routing, all ranks join a new formation that begins with one
+map, and the group is routed to again. Ranks that step are always members of the same formation,
+so no step runs under two maps while the orders to join arrive.
 """
 
 from collections.abc import Mapping, Sequence
@@ -23,7 +23,7 @@
 
 
 def is_formed(states: Mapping[int, RankState], ranks: int) -> bool:
-    """Return whether all ranks are members of one formation of just these ranks."""
+    """Return whether all ranks are in one formation that has no other members."""
     if len(states) < ranks:
         return False
     formation = states[0].formation
@@ -43,7 +43,10 @@
 async def starting_map(
     group: ModelGroup, ports: Sequence[RankPort], states: Mapping[int, RankState]
 ) -> ExpertMap:
-    """Return the map a new formation begins with: the newest that a rank holds, if it fits."""
+    """Return the first map of a new formation.
+
+    It is the newest map held by a rank that fits the configuration, or else an even map.
+    """
     highest = 0
     maps = {state.next_map for state in states.values() if state.next_map is not None}
     for wanted in sorted(maps, reverse=True):
@@ -64,18 +67,20 @@
 
 
 async def read_map(port: RankPort, state: RankState) -> ExpertMap:
-    """Return the content of the map that a rank goes to.
+    """Return the content of the next map of a rank.
 
     Raises:
-        GroupError: RANK_MALFORMED where the content does not have the digest the rank named,
-            RANK_UNREACHABLE where it does not answer.
+        GroupError: RANK_MALFORMED if the rank has no map or the content does not match the digest
+            it reported, RANK_UNREACHABLE if it does not answer.
     """
     wanted = state.next_map
     if wanted is None:
         raise GroupError(Code.RANK_MALFORMED, f"rank {port.rank} has no map")
     found = await port.read_map(wanted)
     if found.id != wanted:
-        raise GroupError(Code.RANK_MALFORMED, f"rank {port.rank} gave {found.id}")
+        raise GroupError(
+            Code.RANK_MALFORMED, f"rank {port.rank} returned map {found.id} instead of {wanted}"
+        )
     return found
 
 
@@ -87,11 +92,11 @@
     clock: Clock,
     deadline: float,
 ) -> None:
-    """Have all ranks join ``formation``.
+    """Make all ranks join ``formation``.
 
     Raises:
-        GroupError: GROUP_BROKEN where a rank has gone elsewhere or the deadline passed; the ranks
-            are to be read again.
+        GroupError: GROUP_BROKEN if a rank has joined another formation or the deadline has passed;
+            the ranks must then be read again.
     """
     waiting = set(states)
     while waiting:
--- a/carawayhub/groups/orders.py
+++ b/carawayhub/groups/orders.py
@@ -1,8 +1,8 @@
-"""Orders to the ranks of a lock-step group, and what a rank says of itself.
+"""Orders to the ranks of a lock-step group, and the state that a rank reports.
 
-Every order is idempotent and names all that it depends on, so that a late or repeated one either
-has the effect its giver wanted or none. What an engine must keep to is in
-``docs/design/map-change.md``.
+Every order is idempotent and names everything it depends on, so a late or repeated order has
+either the effect its issuer intended or none. ``docs/design/map-change.md`` lists the rules that an
+engine must follow.
 """
 
 from dataclasses import dataclass
@@ -16,8 +16,9 @@
     """The fencing number of a decider.
 
     Attributes:
-        number: Above that of every earlier decider whose orders the ranks have seen.
-        decider: Random number drawn when the decider started; tells apart two of one number.
+        number: Higher than that of every earlier decider whose orders the ranks have received.
+        decider: Random number drawn when the decider started; distinguishes two deciders with the
+            same ``number``.
     """
 
     number: int = 0
@@ -26,13 +27,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Formation:
-    """One joining of ranks into a communicator; only its members step with each other.
+    """A set of ranks joined in one communicator; only its members step together.
 
     Attributes:
-        id: Name of the communicator, never used twice.
+        id: Name of the communicator, never reused.
         version: Configuration version that named the members.
         members: Incarnation of each rank, by rank.
-        first_map: The map all members begin with.
+        first_map: The map that all members begin with.
     """
 
     id: str
@@ -43,12 +44,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Change:
-    """One switch of the map; two changes are the same only if all of this is equal.
+    """A switch to another map; two changes are equal only if all attributes are equal.
 
     Attributes:
-        formation: Id of the formation that it is for.
-        base: Map it replaces.
-        target: Map it installs.
+        formation: Id of the formation that it applies to.
+        base: Map to replace.
+        target: Map to install.
         step: First step that runs on the target.
     """
 
@@ -60,19 +61,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RankState:
-    """What a rank says of itself.
+    """State that a rank reports.
 
     Attributes:
-        rank: Its position in the group.
+        rank: Position in the group.
         incarnation: Random number drawn when its engine started.
-        promised: Highest term it has seen; stays at zero where fencing is not checked.
-        formation: The formation it is a member of, None after its start.
-        map: The map its next step runs on, as long as nothing armed says otherwise.
-        entered: Highest step of this formation whose collective it has entered.
-        barred: No change is armed for a step up to this one.
-        armed: The change it has agreed to; it does not enter the step before a verdict.
+        promised: Highest term received; stays at zero if the engine does not check fencing.
+        formation: The formation it is a member of, None after a start.
+        map: The map that its next step runs on, unless an armed change applies at that step.
+        entered: Highest step of the formation whose collective it has entered.
+        barred: The rank arms no change for a step up to this one.
+        armed: The change it has agreed to; it does not enter the step without a verdict.
         committed: Whether the verdict on ``armed`` is to commit.
-        staging: The map whose weights it fetches or has fetched.
+        staging: The map whose weights it is fetching or has fetched.
         missing: Fetches still missing for ``staging``.
     """
 
@@ -90,11 +91,11 @@
 
     @property
     def next_map(self) -> MapId | None:
-        """The map it goes to as far as it knows a verdict, else the one it is on."""
+        """The target of a committed change that is not yet in force, else the current map."""
         return self.armed.target if self.armed is not None and self.committed else self.map
 
     def holds(self, wanted: MapId) -> bool:
-        """Return whether the weights of ``wanted`` are all here."""
+        """Return whether the rank holds all weights of ``wanted``."""
         if self.map == wanted or (self.armed is not None and self.armed.target == wanted):
             return True
         return self.staging == wanted and self.missing == 0
@@ -102,16 +103,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Read:
-    """Promise to obey no earlier term than this one, and tell the state."""
+    """Promise to obey no lower term than this one, and report the state."""
 
     term: Term
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Prepare:
-    """Set weights of ``map`` as the ones to fetch.
+    """Select the weights of ``map`` as those to fetch.
 
-    Those of an earlier Prepare may go, but for the map in force and the one that is armed.
+    Weights of an earlier Prepare may be dropped, except for the map in force and the armed one.
     """
 
     term: Term
@@ -120,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Fetch:
-    """Fetch the weights of ``loads`` from the weight store beside the steps that run."""
+    """Fetch the weights of ``loads`` from the weight store while the rank keeps stepping."""
 
     term: Term
     target: MapId
@@ -131,8 +132,8 @@
 class Form:
     """Leave formation ``replaces`` and join ``formation``.
 
-    A rank obeys only if ``replaces`` is where it is and its own incarnation is a member: an order
-    that comes late names a formation that the rank has left, and changes nothing.
+    A rank obeys only if it is in ``replaces`` and its own incarnation is a member of ``formation``:
+    a late order names a formation that the rank has already left, and has no effect.
     """
 
     term: Term
@@ -158,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Abort:
-    """Drop ``change`` and bar its step; sent only after a rank was seen that barred it."""
+    """Drop ``change`` and bar its step; sent only after a rank has reported that it barred it."""
 
     term: Term
     change: Change
@@ -166,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Commit:
-    """Switch to ``change`` at its step; sent only after all ranks were seen to have agreed."""
+    """Apply ``change`` at its step; sent only after all ranks have reported their agreement."""
 
     term: Term
     change: Change
@@ -181,8 +182,8 @@
 
     Attributes:
         code: OK, ORDER_FENCED, ORDER_REFUSED, STAGING_FAILED or STORE_BUSY.
-        state: The rank after the order.
-        retry_after: Seconds after which the weight store wants to be asked again.
+        state: State of the rank after the order.
+        retry_after: Seconds after which the weight store accepts a retry.
     """
 
     code: Code
--- a/carawayhub/groups/ranks.py
+++ b/carawayhub/groups/ranks.py
@@ -1,4 +1,4 @@
-"""The port to one rank of a lock-step group."""
+"""Interface to one rank of a lock-step group."""
 
 from typing import Protocol
 
@@ -7,10 +7,10 @@
 
 
 class RankPort(Protocol):
-    """What the decider needs of a rank.
+    """Operations on a rank that the decider uses.
 
-    A call may end with GroupError RANK_UNREACHABLE; the order may then have been obeyed or not,
-    and may still arrive. A call that is cancelled leaves the same doubt.
+    A call may raise GroupError RANK_UNREACHABLE. The order may then have been obeyed or not, and
+    may still arrive. The same is true of a cancelled call.
     """
 
     @property
@@ -18,11 +18,11 @@
         """Position of the rank in its group."""
 
     async def order(self, order: Order) -> Reply:
-        """Give an order and return the rank's answer."""
+        """Send an order and return the rank's reply."""
 
     async def read_map(self, wanted: MapId) -> ExpertMap:
-        """Return the content of a map that the rank holds or stages.
+        """Return the content of a map that the rank holds or is staging.
 
         Raises:
-            GroupError: RANK_UNREACHABLE, or ORDER_REFUSED where the rank does not know the map.
+            GroupError: RANK_UNREACHABLE, or ORDER_REFUSED if the rank does not know the map.
         """
--- a/carawayhub/groups/staging.py
+++ b/carawayhub/groups/staging.py
@@ -1,8 +1,8 @@
-"""Bringing a map's weights to the ranks in the background, within the weight store's rate.
+"""Transfers the weights of a map to the ranks in the background, within the weight store's rate.
 
-The store's rate is shared without shared state: each group of the configuration may use an equal
-part of it, whatever the others do. A part that is not used is lost; in return no group can starve
-another, and a store that turns out slower than said is met by backing off when it refuses.
+The rate is divided without shared state: each group of the configuration may use an equal share,
+regardless of the others. An unused share is lost; in return no group can starve another. If the
+store is slower than configured, groups back off when it refuses requests.
 """
 
 import math
@@ -26,17 +26,17 @@
 
 
 def fair_rate(store_rate: float, groups: int) -> float:
-    """Return the bytes a second that one of ``groups`` groups may fetch."""
+    """Return the share of one of ``groups`` groups, in bytes per second."""
     return store_rate / max(1, groups)
 
 
 class StoreBudget:
-    """A token bucket over the bytes that one group fetches, with backoff.
+    """A token bucket with backoff that limits the bytes one group fetches.
 
     Args:
-        rate: Bytes a second.
+        rate: Bytes per second.
         clock: Source of time.
-        rng: Spreads the retries of groups that were refused together.
+        rng: Source of the jitter that spreads retries of different groups.
     """
 
     __slots__ = ("_backoff", "_clock", "_free_at", "_backoff_until", "_rate", "_rng")
@@ -51,21 +51,21 @@
 
     @property
     def rate(self) -> float:
-        """Bytes a second."""
+        """Bytes per second."""
         return self._rate
 
     def reserve(self, size: int) -> float:
-        """Take ``size`` bytes and return the clock reading from which they may be fetched."""
+        """Reserve ``size`` bytes and return the timestamp from which they may be fetched."""
         now = self._clock.monotonic()
         begin = max(self._free_at, now - BURST_SECONDS)
         self._free_at = begin + size / self._rate
         return max(self._free_at, self._backoff_until, now)
 
     def back_off(self, retry_after: float) -> float:
-        """Return the clock reading before which nothing is fetched after the store refused.
+        """Record a refusal by the store and return the timestamp before which nothing is fetched.
 
-        Without the growing pause and its jitter, groups refused together would come back together
-        and be refused for ever.
+        Without exponential backoff and jitter, groups refused at the same time would retry at the
+        same time and be refused again, indefinitely.
         """
         pause = max(retry_after, self._backoff) * self._rng.uniform(1.0, 1.5)
         self._backoff = min(MAX_BACKOFF_SECONDS, 2 * self._backoff)
@@ -73,20 +73,20 @@
         return self._backoff_until
 
     def reset_backoff(self) -> None:
-        """Take note that the store delivers."""
+        """Reset the backoff after the store has accepted a request."""
         self._backoff = MIN_BACKOFF_SECONDS
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Staging:
-    """One map to bring to the ranks.
+    """A map to transfer to the ranks.
 
     Attributes:
         term: Fencing number of the decider.
-        old: Content of the map in force, None where the ranks hold nothing.
+        old: Content of the map in force, None if the ranks hold no weights.
         new: The map to stage.
         expert_bytes: Size of one expert's weights of one layer.
-        deadline: Clock reading at which staging is given up.
+        deadline: Timestamp at which staging is given up.
     """
 
     term: Term
@@ -99,15 +99,15 @@
 async def stage(
     ports: Sequence[RankPort], staging: Staging, budget: StoreBudget, clock: Clock
 ) -> None:
-    """Bring the weights of ``staging.new`` to all ranks; the ranks step on meanwhile.
+    """Transfer the weights of ``staging.new`` to all ranks while they keep stepping.
 
     Raises:
-        GroupError: STAGING_FAILED after the deadline, CHANGE_OVERTAKEN where a rank has promised
-            to obey another decider.
+        GroupError: STAGING_FAILED after the deadline, CHANGE_OVERTAKEN if a rank has promised to
+            obey another decider.
     """
-    left = max(0.0, staging.deadline - clock.monotonic())
+    remaining = max(0.0, staging.deadline - clock.monotonic())
     try:
-        with anyio.fail_after(left):
+        with anyio.fail_after(remaining):
             await _stage_all(ports, staging, budget, clock)
     except TimeoutError:
         raise GroupError(Code.STAGING_FAILED, f"map {staging.new.id} not staged in time") from None
@@ -116,20 +116,20 @@
 async def _stage_all(
     ports: Sequence[RankPort], staging: Staging, budget: StoreBudget, clock: Clock
 ) -> None:
-    refusals: list[GroupError] = []
+    errors: list[GroupError] = []
 
-    async def one(port: RankPort) -> None:
+    async def stage_one(port: RankPort) -> None:
         try:
             await _stage_rank(port, staging, budget, clock)
         except GroupError as exc:
-            refusals.append(exc)
+            errors.append(exc)
             tasks.cancel_scope.cancel()
 
     async with anyio.create_task_group() as tasks:
         for port in ports:
-            tasks.start_soon(one, port)
-    if refusals:
-        raise refusals[0]
+            tasks.start_soon(stage_one, port)
+    if errors:
+        raise errors[0]
 
 
 async def _stage_rank(port: RankPort, staging: Staging, budget: StoreBudget, clock: Clock) -> None:
@@ -137,7 +137,7 @@
     state = await _prepare(port, staging)
     if state.holds(staging.new.id):
         return
-    # A rank that was replaced holds nothing, whatever the old map says.
+    # A replaced rank holds no weights, even if the old map assigns it some.
     if state.missing > len(loads):
         loads = needed_loads(port.rank, None, staging.new)
     batch = max(1, int(budget.rate * BURST_SECONDS / staging.expert_bytes))
@@ -149,7 +149,7 @@
 
 
 def needed_loads(rank: int, old: ExpertMap | None, new: ExpertMap) -> tuple[Load, ...]:
-    """Return what ``rank`` must fetch for ``new``; everything it will hold if ``old`` is None."""
+    """Return what ``rank`` must fetch for ``new``; all that it assigns if ``old`` is None."""
     if old is not None:
         return tuple(load for load in fetches(old, new) if load.rank == rank)
     loads: dict[tuple[int, int], Load] = {}
@@ -186,7 +186,7 @@
             case Reply(code=Code.STORE_BUSY, retry_after=retry_after):
                 await _sleep_until(budget.back_off(retry_after), clock)
             case Reply(code=Code.ORDER_REFUSED):
-                # The rank was replaced, or another decider prepared another map: say it again.
+                # The rank was replaced, or another decider prepared another map: prepare it again.
                 await _prepare(port, staging)
                 await anyio.sleep(POLL_SECONDS)
             case _:
@@ -199,9 +199,11 @@
     except GroupError:
         return None
     if reply.code is Code.ORDER_FENCED:
-        raise GroupError(Code.CHANGE_OVERTAKEN, f"rank {port.rank} obeys {reply.state.promised}")
+        raise GroupError(
+            Code.CHANGE_OVERTAKEN, f"rank {port.rank} promised to obey {reply.state.promised}"
+        )
     return reply
 
 
-async def _sleep_until(reading: float, clock: Clock) -> None:
-    await anyio.sleep(max(0.0, reading - clock.monotonic()))
+async def _sleep_until(timestamp: float, clock: Clock) -> None:
+    await anyio.sleep(max(0.0, timestamp - clock.monotonic()))
--- a/carawayhub/groups/status.py
+++ b/carawayhub/groups/status.py
@@ -1,4 +1,4 @@
-"""What operators are shown of a lock-step group: its state and its audit events."""
+"""State and audit events of a lock-step group, as shown to operators."""
 
 from dataclasses import dataclass
 
@@ -8,18 +8,18 @@
 
 @dataclass(slots=True, kw_only=True)
 class GroupStatus:
-    """State of one group as its decider knows it.
+    """State of a group as known to its decider.
 
     Attributes:
-        group: Its name.
-        map_number: Number of the map in force, 0 where the group is not formed.
+        group: Name of the group.
+        map_number: Number of the map in force, 0 before the first map is known.
         digest: Digest of that map.
-        formed: Whether all ranks are in one formation; requests are routed to it only then.
-        changing: What is under way, empty for nothing.
+        formed: Whether all ranks are in one formation; requests are routed to the group only then.
+        changing: Operation in progress, empty if none.
         skew: Step-time skew estimated at the last decision.
         decision: The last decision.
-        reason: Why it was taken.
-        lost_ranks: Ranks that did not answer last.
+        reason: Reason of the last decision.
+        lost_ranks: Ranks that did not answer the last read.
     """
 
     group: str
@@ -38,13 +38,13 @@
     """A rebalance is in force.
 
     Attributes:
-        before: Map until then.
-        after: Map from then on.
+        before: Map before the change.
+        after: Map after the change.
         gain_seconds: Step time expected to be saved over the policy's horizon.
-        cost_seconds: Cost expected of the change.
+        cost_seconds: Expected cost of the change.
         moved_bytes: Bytes fetched from the weight store.
         seconds: Time from the decision to the last rank's commit.
-        reason: Why.
+        reason: Reason of the decision.
     """
 
     before: MapId
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MapKept:
-    """A rebalance was begun and is not in force; the old map goes on."""
+    """A rebalance was started but not applied; the old map stays in force."""
 
     before: MapId
     wanted: MapId
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GainMeasured:
-    """What a rebalance brought: fall in step-time skew, expected and measured."""
+    """Expected and measured reduction of step-time skew by a rebalance."""
 
     map_number: int
     expected: float
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ChangeSettled:
-    """A change that another decider had left was ended."""
+    """A change that another decider left unfinished was settled."""
 
     target: MapId
     committed: bool
--- a/tests/group_bench.py
+++ b/tests/group_bench.py
@@ -28,7 +28,7 @@
 
 
 class FakePolicy:
-    """Asks for one change at a time: whatever ``rows`` is set to."""
+    """Requests a change to the map given by ``rows``."""
 
     def __init__(self):
         self.rows = None
@@ -59,7 +59,7 @@
 
 
 class Signals:
-    """No counters, an ordinary load."""
+    """Signals without counters and with the default situation."""
 
     async def counters(self):
         return None
@@ -91,7 +91,7 @@
         self.deciders = []
 
     def decider(self, *, version=1, options=FAST, ports=None):
-        """Return a decider with ports of its own, so that its orders alone meet faults."""
+        """Return a decider with its own ports, so that injected faults affect only its orders."""
         count = len(self.ranks)
         config = ModelGroup(
             name="g",
@@ -105,15 +105,15 @@
         )
         ports = ports or [FaultyPort(StandInPort(rank)) for rank in self.ranks]
         map_policy = FakePolicy()
-        made = GroupDecider(
+        group_decider = GroupDecider(
             config, version, ports, map_policy, Signals(), self.clock, self.trail, self.rng, options
         )
-        made.ports, made.map_policy = ports, map_policy
-        return made
+        group_decider.ports, group_decider.map_policy = ports, map_policy
+        return group_decider
 
     @asynccontextmanager
     async def stepping(self):
-        """Let the ranks step while the body runs; bounded, so that a hang fails."""
+        """Step the ranks while the body runs, with a timeout so that a hang fails the test."""
         with anyio.fail_after(30):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.group.run, 0.0005)
@@ -122,15 +122,15 @@
 
     @asynccontextmanager
     async def running(self, decider):
-        """Run ``decider`` while the body runs; then it ends as if its process had died."""
+        """Run ``decider`` while the body runs, then cancel it as if its process had died."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(decider.run)
             yield decider
             tasks.cancel_scope.cancel()
 
-    async def until(self, holds):
-        """Wait for an event."""
-        while not holds():
+    async def until(self, condition):
+        """Wait until the condition holds."""
+        while not condition():
             await anyio.sleep(0.001)
 
     async def until_on(self, rows):
@@ -139,8 +139,8 @@
 
     async def until_steps(self, count=30):
         """Wait until every rank has made ``count`` more steps."""
-        aim = min(rank.state.entered for rank in self.ranks) + count
-        await self.until(lambda: all(rank.state.entered >= aim for rank in self.ranks))
+        target = min(rank.state.entered for rank in self.ranks) + count
+        await self.until(lambda: all(rank.state.entered >= target for rank in self.ranks))
 
     def rows_of(self, rank):
         content = rank.content(rank.state.map) if rank.state.map else None
--- a/tests/test_groups_change.py
+++ b/tests/test_groups_change.py
@@ -1,4 +1,4 @@
-"""Changing the map of a running group through faults of links, ranks and deciders."""
+"""Map changes in a running group during faults of links, ranks and deciders."""
 
 import unittest
 from dataclasses import replace
@@ -11,7 +11,7 @@
 
 
 class MapChangeTest(unittest.IsolatedAsyncioTestCase):
-    """With and without fencing checks; every test ends with no step made under two maps."""
+    """Map changes with and without fencing checks; no step may run under two maps."""
 
     async def run_with_and_without_fencing(self, scenario):
         for checks in (True, False):
@@ -40,7 +40,7 @@
         await self.run_with_and_without_fencing(scenario)
 
     async def test_switch_costs_no_step(self):
-        """Without faults the verdict is everywhere before the step: no rank waits for it."""
+        """Without faults every rank has the verdict before the step, so none waits for it."""
 
         async def scenario(bench):
             decider = bench.decider(options=replace(FAST, lead_steps=400))
@@ -53,10 +53,10 @@
         await self.run_with_and_without_fencing(scenario)
 
     async def test_lost_orders_and_replies(self):
-        """Orders and replies of the change are lost, one of each kind at each rank.
+        """One rank loses each kind of order and another one each kind of reply during a change.
 
-        The decider cannot tell a lost order from a lost reply and gives it again. A caller would
-        see steps stop if a rank waited for a verdict that nobody repeats.
+        The decider cannot distinguish a lost order from a lost reply and sends it again. Without
+        the retry a rank waits for its verdict forever and the group stops stepping.
         """
 
         async def scenario(bench):
@@ -73,10 +73,10 @@
         await self.run_with_and_without_fencing(scenario)
 
     async def test_late_repeats_change_nothing(self):
-        """After two changes the network delivers every order ever given once more, newest first.
+        """After two changes the network delivers every sent order again, newest first.
 
-        Without the bar and the base in each order, an old Arm or Form would put ranks back or
-        hold them at a step for ever, and callers would wait.
+        Without the barred step and the replaced map or formation in each order, an old Arm or Form
+        would revert ranks or block them at a step forever, and callers would wait.
         """
 
         async def scenario(bench):
@@ -99,9 +99,9 @@
         await self.run_with_and_without_fencing(scenario)
 
     async def test_stalled_rank(self):
-        """A rank stops stepping just before a change and goes on after it was committed.
+        """A rank stops stepping just before a change and continues after the commit.
 
-        The others wait for it in the collective, as they would without a change, and the whole
+        The others wait for it in the collective, as they do without a change, and the complete
         group switches at the agreed step.
         """
 
@@ -121,8 +121,8 @@
     async def test_decider_dies_before_all_agreed(self):
         """The decider dies when one rank has agreed; that rank will wait at the step.
 
-        The group goes quiet until the next decider reads the ranks, has the others bar the step
-        and frees the one that waits. The old map goes on.
+        The group is stalled until the next decider reads the ranks, has the others bar the step
+        and aborts the change at the waiting rank. The old map stays in force.
         """
 
         async def scenario(bench):
@@ -142,10 +142,10 @@
         await self.run_with_and_without_fencing(scenario)
 
     async def test_decider_dies_after_all_agreed(self):
-        """The decider dies when all ranks have agreed and one knows the verdict.
+        """The decider dies when all ranks have agreed and one has received the verdict.
 
-        Two ranks wait at the step. The next decider finds that all agreed and completes the
-        change; to abort it would set the rank that knows the verdict apart.
+        Two ranks wait at the step. The next decider reads that all have agreed and completes the
+        change; aborting it would leave the rank that has the verdict on another map.
         """
 
         async def scenario(bench):
@@ -163,10 +163,10 @@
         await self.run_with_and_without_fencing(scenario)
 
     async def test_paused_decider_wakes_beside_its_successor(self):
-        """A decider is paused with orders on their way; a new one changes to another map.
+        """A decider is paused with orders in flight; a new one changes to another map.
 
-        Then the old one wakes: it goes on with its change, and its held orders arrive. Where
-        engines ignore fencing numbers, nothing but the ranks' votes keeps the maps one.
+        Then the old one resumes its change and its delayed orders arrive. If engines ignore fencing
+        numbers, only the votes of the ranks ensure that all run the same map.
         """
 
         async def scenario(bench):
@@ -192,12 +192,10 @@
         await self.run_with_and_without_fencing(scenario)
 
     async def test_every_order_names_its_decider(self):
-        """Orders of two deciders are counted where one gives them all.
+        """Guards against orders of one decider that seem to come from two.
 
-        The decider in charge reads all ranks anew each ten seconds, and its first reading named
-        nobody. Who counts the orders of each decider found a second one, number 0, beside it: on a
-        slow machine, where the ten seconds ran out, 14 orders of number 0 became 18 while the
-        decider that had been replaced stood still at 28.
+        The decider reads all ranks again every ten seconds. If the first read of a round carries no
+        decider number, counting orders by decider finds a second decider with number 0.
         """
 
         async def scenario(bench):
@@ -207,23 +205,22 @@
                 await bench.until(lambda: decider.status.formed)
                 read = len(decider.ports[0].given)
                 await bench.until(lambda: len(decider.ports[0].given) > read + 100)
-            givers = {order.term.decider for port in decider.ports for order in port.given}
-            self.assertEqual(givers, {decider._term.decider})
+            issuers = {order.term.decider for port in decider.ports for order in port.given}
+            self.assertEqual(issuers, {decider._term.decider})
 
         await self.run_with_and_without_fencing(scenario)
 
     async def test_change_of_a_stopped_decider_is_settled_before_its_step(self):
-        """Callers of a group wait for two seconds at a step that nobody in charge asked for.
-
-        A stopped decider had staged a map and written its orders to agree too late: they come to
-        the ranks while its successor watches, and ranks that ignore fencing numbers obey. The
-        successor looked at rank 0 and passed over what it was armed for; it found the change once
-        the ranks stood still at its step, 2.2 s later (``longest stall 2.241``, three ranks, steps
-        of 6 ms, looks each second). Here the step is so far ahead that the group never stands
-        still, so nothing but that look can tell.
+        """Guards against a stall of two seconds at the step of a stopped decider's change.
+
+        Arm orders of a stopped decider arrive while its successor watches the group, and ranks that
+        ignore fencing numbers obey them. If the successor ignores the armed change when it polls
+        rank 0, it finds the change only once the ranks are stalled at its step, 2.2 s later with
+        three ranks, steps of 6 ms and a poll each second. Here the step is so far ahead that the
+        group never stalls, so only the poll can detect the change.
         """
         bench = GroupBench(checks_fencing=False)
-        seldom = replace(FAST, full_read_interval=1000.0, decision_interval=1000.0)
+        rare_reads = replace(FAST, full_read_interval=1000.0, decision_interval=1000.0)
         async with bench.stepping():
             old = bench.decider()
             async with bench.running(old):
@@ -232,7 +229,7 @@
                 base = bench.ranks[0].content(bench.ranks[0].state.map)
                 target = base.with_layers(bench.SECOND)
                 await old._stage(base, target)
-            async with bench.running(bench.decider(options=seldom)) as new:
+            async with bench.running(bench.decider(options=rare_reads)) as new:
                 await bench.until(lambda: new.status.formed)
                 state = bench.ranks[0].state
                 change = Change(
@@ -250,7 +247,7 @@
     async def test_two_deciders_want_different_maps(self):
         """Two deciders that both believe they are in charge change the map at the same time.
 
-        Each map that comes into force does so at all ranks; the group never stops for good.
+        Each map that comes into force does so at all ranks; the group never stops permanently.
         """
 
         async def scenario(bench):
@@ -268,10 +265,10 @@
         await self.run_with_and_without_fencing(scenario)
 
     async def test_partition_while_agreeing(self):
-        """The decider loses one rank between its agreement and the verdict.
+        """The decider loses the link to one rank between its agreement and the verdict.
 
-        Requests must not be routed to a group that waits at the step: it is reported as not
-        formed. When the link is back, the change is completed and the group takes requests.
+        Requests must not be routed to a group that waits at the step, so it is reported as not
+        formed. When the link is available again, the change is completed and the group is formed.
         """
 
         async def scenario(bench):
@@ -292,7 +289,7 @@
         await self.run_with_and_without_fencing(scenario)
 
     async def test_partition_while_staging(self):
-        """The decider loses one rank before any has agreed: the group steps on as if unasked."""
+        """The decider loses one rank before any has agreed: the group keeps stepping unchanged."""
 
         async def scenario(bench):
             decider = bench.decider()
@@ -308,7 +305,7 @@
         await self.run_with_and_without_fencing(scenario)
 
     async def test_change_that_not_all_agree_to_is_aborted(self):
-        """One rank never hears of the change; it is withdrawn, and later orders find it barred."""
+        """One rank never receives Arm; the change is withdrawn and a late Arm finds it barred."""
 
         async def scenario(bench):
             decider = bench.decider()
@@ -327,10 +324,10 @@
 
 
 class MalformedRankTest(unittest.IsolatedAsyncioTestCase):
-    """Ranks that answer what cannot be."""
+    """Ranks that send invalid replies."""
 
     async def test_rank_that_says_it_is_another(self):
-        """Two ranks' addresses are swapped in the configuration: nothing is ordered."""
+        """The configuration swaps the addresses of two ranks: no rank joins a formation."""
         bench = GroupBench()
         ports = bench.decider().ports
         swapped = [ports[0], _RenumberedPort(ports[2], 1), _RenumberedPort(ports[1], 2)]
--- a/tests/test_groups_lease.py
+++ b/tests/test_groups_lease.py
@@ -1,4 +1,4 @@
-"""Which agent may order the ranks of a lock-step group, and until when."""
+"""The lease that allows one agent to issue orders to the ranks of a lock-step group."""
 
 import dataclasses
 import random
@@ -44,7 +44,7 @@
 
 
 def replaced(cfg: Configuration, vm: str) -> Configuration:
-    """Return a later configuration in which the VM beside rank 0 is another one."""
+    """Return a later configuration in which rank 0 runs on another VM."""
     name = cfg.groups["wide"].endpoints[0]
     moved = dataclasses.replace(cfg.endpoints[name], vm=vm, agent="10.9.9.9:7000")
     endpoints = {**cfg.endpoints, name: moved}
@@ -52,26 +52,26 @@
 
 
 class LeaseTest(unittest.TestCase):
-    """What most of three witnesses have to confirm."""
+    """Confirmation by a majority of three witnesses."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(100.0)
         self.lease = Lease(self.clock, ("a", "b", "c"))
 
     def confirm(self, *names: str) -> None:
-        """Let witnesses confirm that they have named the agent for long."""
+        """Record confirmations of witnesses that have named the agent long enough."""
         for name in names:
             self.lease.record_confirmation(name, self.clock.monotonic(), MIN_NAMED_SECONDS)
 
     def test_one_witness_is_not_enough(self) -> None:
-        """Guards against orders on the word of one peer that is cut off itself."""
+        """Guards against orders confirmed only by a peer that is itself disconnected."""
         self.confirm("a")
         self.assertFalse(self.lease.valid)
         self.confirm("b")
         self.assertTrue(self.lease.valid)
 
     def test_it_ends_by_the_age_of_what_was_asked(self) -> None:
-        """Guards against an answer that lay in the socket while the agent was suspended."""
+        """Guards against a reply that stayed in the socket buffer while the agent was suspended."""
         asked_at = self.clock.monotonic()
         self.clock.advance(LEASE_SECONDS)
         self.lease.record_confirmation("a", asked_at, MIN_NAMED_SECONDS)
@@ -88,7 +88,7 @@
         self.assertFalse(self.lease.valid)
 
     def test_agent_that_was_named_a_moment_ago_waits(self) -> None:
-        """Guards against a successor that begins while the agent before it may still order."""
+        """Guards against a successor that starts while its predecessor may still issue orders."""
         for name in ("a", "b", "c"):
             self.lease.record_confirmation(name, self.clock.monotonic(), MIN_NAMED_SECONDS - 0.1)
         self.assertFalse(self.lease.valid)
@@ -110,7 +110,7 @@
 
 
 class NamedTest(unittest.TestCase):
-    """What a witness says."""
+    """What a witness reports."""
 
     def setUp(self) -> None:
         self.clock = ManualClock(100.0)
@@ -143,7 +143,7 @@
 
 
 class WitnessesTest(unittest.TestCase):
-    """Who is asked."""
+    """Selection of witnesses."""
 
     def test_they_are_few_and_odd_and_leave_the_decider_out(self) -> None:
         for endpoints, entries in ((2, 1), (2, 2), (2, 7), (4, 40)):
@@ -164,7 +164,7 @@
         self.assertLessEqual(max(counts) - min(counts), 1)
 
     def test_group_in_one_failure_domain_needs_no_other(self) -> None:
-        """Guards against a whole group that stops deciding since other domains are cut off."""
+        """Guards against losing the lease of a healthy group when other domains are unreachable."""
         cfg = group_configuration(1, 6)
         own = cfg.endpoints[cfg.groups["wide"].endpoints[0]].failure_domain
         entries = [name for name, node in cfg.entries.items() if node.failure_domain == own]
@@ -174,11 +174,11 @@
 
 
 class History:
-    """Witnesses that restart and lag, and two agents that are named in turn.
+    """Witnesses that restart and lag, and two agents named one after the other.
 
     Args:
-        seed: Seed of all chance.
-        waits: Whether an agent waits until it has been named for long.
+        seed: Seed of the random number generator.
+        waits: Whether an agent waits until it has been named long enough.
         count: Number of witnesses.
     """
 
@@ -194,26 +194,26 @@
         self.holders = [lease_holder(cfg, cfg.groups["wide"]) for cfg in self.versions]
         self.leases = [Lease(self.clock, self.names) for _ in self.holders]
         self.waits = waits
-        self.under_way: list[tuple[int, str, float, float]] = []
+        self.in_flight: list[tuple[int, str, float, float]] = []
         self.ordered = [0, 0]
 
     def started(self, name: str) -> NamedDeciders:
-        """Return what a witness knows that has just started, perhaps from a stale source."""
+        """Return the state of a witness that has just started, possibly from a stale source."""
         named = NamedDeciders(self.clock)
         named.apply_configuration(self.versions[self.version[name]])
         return named
 
     def step(self) -> None:
-        """Let one thing happen."""
+        """Apply one random event."""
         name = self.rng.choice(self.names)
         match self.rng.choices(("time", "ask", "answer", "learn", "restart"), (6, 9, 9, 1, 1))[0]:
             case "time":
                 self.clock.advance(self.rng.uniform(0.0, LONGEST_STEP))
             case "ask":
                 self.ask(self.rng.randrange(2), name)
-            case "answer" if self.under_way:
-                at, name, asked_at, seconds = self.under_way.pop(
-                    self.rng.randrange(len(self.under_way))
+            case "answer" if self.in_flight:
+                at, name, asked_at, seconds = self.in_flight.pop(
+                    self.rng.randrange(len(self.in_flight))
                 )
                 self.leases[at].record_confirmation(name, asked_at, seconds)
             case "learn":
@@ -224,14 +224,14 @@
                 self.named[name] = self.started(name)
 
     def ask(self, at: int, name: str) -> None:
-        """Have an agent ask a witness; the answer comes at any later time."""
+        """Send a request from an agent to a witness; the reply arrives at any later time."""
         seconds = self.named[name].seconds_named("wide", self.holders[at])
         if not self.waits and seconds >= 0:
             seconds = MIN_NAMED_SECONDS
-        self.under_way.append((at, name, self.clock.monotonic(), seconds))
+        self.in_flight.append((at, name, self.clock.monotonic(), seconds))
 
     def both_may_order(self) -> bool:
-        """Play to the end; return whether both agents ever could order at once."""
+        """Run all steps; return whether both agents could ever issue orders at the same time."""
         for _ in range(STEPS):
             self.step()
             valid = [lease.valid for lease in self.leases]
@@ -243,10 +243,10 @@
 
 
 class SearchTest(unittest.TestCase):
-    """Random histories of lost, late and stale answers."""
+    """Random histories of lost, late and stale replies."""
 
     def test_no_two_agents_may_order_at_once(self) -> None:
-        """Guards against two deciders, also where witnesses forget what they had told."""
+        """Guards against two active deciders, also if witnesses lose state in a restart."""
         ordered = [0, 0]
         for seed in range(HISTORIES):
             history = History(seed, count=3 + 2 * (seed % 2))
@@ -260,7 +260,7 @@
 
 
 class HolderTest(unittest.TestCase):
-    """Who is named."""
+    """The agent that is named as decider."""
 
     def test_it_is_the_agent_beside_rank_0(self) -> None:
         cfg = group_configuration()
--- a/tests/test_groups_membership.py
+++ b/tests/test_groups_membership.py
@@ -1,4 +1,4 @@
-"""Ranks that are lost, restarted, joined or given to another decider; and ranks over HTTP."""
+"""Ranks that are lost, restart, join or change their decider; and ranks over HTTP."""
 
 import unittest
 from dataclasses import replace
@@ -16,13 +16,14 @@
 
 
 class MembershipTest(unittest.IsolatedAsyncioTestCase):
-    """The group comes back with one map, and says meanwhile that it is not formed."""
+    """The group is formed again with one map and reports until then that it is not formed."""
 
     async def test_rank_that_restarts(self):
-        """A rank's engine dies and comes back with an empty memory, twice.
+        """The engine of a rank dies and restarts without state, twice.
 
-        The others wait in the collective of a formation that can never step again. Requests on it
-        end; the group is out of routing until all ranks joined anew, under the map it had.
+        The others wait in the collective of a formation that can never step again. Its requests
+        end, and the group is out of routing until all ranks have joined a new formation under the
+        previous map.
         """
         for checks in (True, False):
             with self.subTest(checks_fencing=checks):
@@ -49,9 +50,10 @@
         self.assertEqual(len(broken), 2)
 
     async def test_rank_dies_between_agreement_and_verdict(self):
-        """A rank restarts after it agreed to a change: its vote is gone with its memory.
+        """A rank restarts after it agreed to a change and loses its vote.
 
-        The change can never run, as its formation cannot step; the group forms anew with one map.
+        The change can never run, since its formation cannot step; the group joins a new formation
+        with one map.
         """
         bench = GroupBench(checks_fencing=False)
         decider = bench.decider()
@@ -69,10 +71,10 @@
         self.assertEqual(bench.group.two_maps(), ())
 
     async def test_joining_rank_and_the_decider_of_the_old_configuration(self):
-        """A configuration adds a rank; the agent that had the group still runs the old one.
+        """A configuration adds a rank, but the previous decider still runs the old configuration.
 
-        The new decider forms all three ranks. The old one sees a formation of a later
-        configuration and gives no more orders, also where engines ignore fencing numbers.
+        The new decider forms all three ranks. The old one reads a formation of a later
+        configuration and sends no more orders, even if engines ignore fencing numbers.
         """
         bench = GroupBench(checks_fencing=False)
         joining = bench.ranks.pop()
@@ -93,7 +95,7 @@
         self.assertEqual(bench.group.two_maps(), ())
 
     async def test_lost_rank(self):
-        """A rank answers no more: the group is reported as not formed, with the rank's number."""
+        """A rank stops answering: the group is reported as not formed, with the rank's number."""
         bench = GroupBench()
         decider = bench.decider()
         async with bench.stepping(), bench.running(decider):
@@ -105,7 +107,7 @@
 
 
 class HttpRankTest(unittest.IsolatedAsyncioTestCase):
-    """The adapter against the stand-in's application on loopback."""
+    """The HTTP adapter against the stand-in engine on loopback."""
 
     async def test_change_over_http(self):
         bench = GroupBench()
@@ -124,7 +126,7 @@
         self.assertEqual(bench.group.two_maps(), ())
 
     async def test_engine_that_is_gone(self):
-        """The engine's VM dies: the order's fate is unknown and is reported as unreachable."""
+        """The engine's VM dies: whether the order was obeyed is unknown; it ends as unreachable."""
         bench = GroupBench()
         async with serving(rank_app(bench.group), "127.0.0.1:0") as address:
             port = HttpRank(f"http://{address}", 0)
@@ -136,10 +138,10 @@
 
 
 class StandInTest(unittest.IsolatedAsyncioTestCase):
-    """The check for two maps can fail."""
+    """The check for steps under two maps detects a violation."""
 
     async def test_two_maps_are_seen(self):
-        """A rank whose map is swapped behind the protocol's back shows in the record of steps."""
+        """A map replaced outside the protocol shows in the record of steps."""
         bench = GroupBench()
         async with bench.stepping(), bench.running(bench.decider()):
             await bench.until_on(bench.FIRST)
--- a/tests/test_groups_staging.py
+++ b/tests/test_groups_staging.py
@@ -1,4 +1,4 @@
-"""Staging of weights: within the store's rate, shared over groups, without holding steps up."""
+"""Staging of weights: within the store's rate, shared by groups, without delaying steps."""
 
 import random
 import unittest
@@ -45,7 +45,7 @@
 
 
 class BudgetTest(unittest.TestCase):
-    """The bucket of one group and how a store is shared."""
+    """The token bucket of a group and the sharing of a store."""
 
     def test_groups_together_keep_within_the_store(self):
         clock = ManualClock()
@@ -83,13 +83,13 @@
 
 
 class StagingTest(unittest.IsolatedAsyncioTestCase):
-    """Staging beside a group that steps."""
+    """Staging while the group steps."""
 
     async def test_store_that_refuses(self):
-        """The weight store refuses for a while; the group steps on under the old map.
+        """The weight store refuses for a while; the group keeps stepping under the old map.
 
-        A decider that armed before all weights were there, or gave the change up halfway, would
-        show as ranks that wait, or as a map that never comes.
+        A decider that arms before all weights are staged leaves ranks waiting; one that gives up
+        the change early leaves the new map unapplied.
         """
         bench = GroupBench()
         decider = bench.decider()
@@ -107,10 +107,11 @@
         self.assertEqual(bench.group.two_maps(), ())
 
     async def test_rank_lost_while_staging_takes_the_group_out(self):
-        """A rank dies while weights are staged, which takes minutes; callers wait for nothing.
+        """A rank dies while weights are staged, which takes minutes; callers wait in vain.
 
-        The group cannot step from then on. A decider that saw to the staging alone would report
-        it as formed until the deadline of the staging, and requests would go on to be sent.
+        The group cannot step from then on. If the decider did not watch the ranks while staging,
+        it would report the group as formed until the staging deadline, and requests would still be
+        routed to it.
         """
         bench = GroupBench()
         decider = bench.decider()
@@ -129,10 +130,10 @@
         self.assertEqual(bench.group.two_maps(), ())
 
     def test_ranks_cut_off_are_told_of_in_time_though_a_change_begins(self):
-        """Half of a group could not be reached, and its agent said so only after 20 seconds.
+        """Guards against reporting unreachable ranks only after 20 seconds.
 
-        The group steps on, so the loss shows only when all ranks are read. A change of the map
-        began just before that was due, and put it off for as long again.
+        The group keeps stepping, so the loss is detected only when all ranks are read. A map change
+        that begins just before that read is due must not postpone it by another interval.
         """
         interval = 10.0
         options = replace(FAST, full_read_interval=interval, watch_interval=0.25)
@@ -157,7 +158,7 @@
         run(scenario)
 
     async def test_rank_that_never_prepares(self):
-        """One rank cannot be told what to stage: the change is given up, the old map goes on."""
+        """One rank never receives the order to stage: the change is given up, the old map stays."""
         bench = GroupBench()
         decider = bench.decider(options=replace(FAST, stage_timeout=0.1))
         async with bench.stepping(), bench.running(decider):
@@ -170,10 +171,10 @@
 
 
 class ClosedLoopTest(unittest.IsolatedAsyncioTestCase):
-    """What a cancelled staging leaves."""
+    """Cancellation of staging."""
 
     async def test_staging_is_cancelled_at_once(self):
-        """The agent stops while the store holds a change up: the stop does not wait for it."""
+        """The agent stops while the store delays a change: the stop does not wait for the store."""
         bench = GroupBench()
         decider = bench.decider()
         async with bench.stepping():
--- a/tests/test_map_search.py
+++ b/tests/test_map_search.py
@@ -1,4 +1,4 @@
-"""Every interleaving of a map change in a small group, and proof that the check can fail."""
+"""Searches every interleaving of a map change in a small group; broken rules must be detected."""
 
 import unittest
 from dataclasses import dataclass, replace
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AbortsOnTimeout(ChangeProgress):
-    """Aborts a change it has given up, though no rank is known to have barred it."""
+    """Aborts a withdrawn change although no rank is known to have barred it."""
 
     def order(self, rank):
         if self.withdrawing and self.verdict is Verdict.OPEN:
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AbortsWhatItFinds(ChangeProgress):
-    """A restarted decider that aborts what has no commit yet and relies on fencing alone."""
+    """A restarted decider that aborts uncommitted changes and relies on fencing alone."""
 
     @property
     def verdict(self):
@@ -49,14 +49,14 @@
 
 
 def agrees_to_barred_steps(state, order) -> Answer:
-    """Rules of a rank that does not keep to its bar."""
+    """Rules of a rank that agrees to a step it has barred."""
     if isinstance(order, Arm):
         state = replace(state, barred=0)
     return obey_unchecked(state, order)
 
 
 class SearchTest(unittest.TestCase):
-    """The product's own rules keep both properties in every interleaving."""
+    """The production rules prevent two maps in one step and stuck changes in every interleaving."""
 
     def check_sound(self, setup):
         found = search(setup)
@@ -79,7 +79,7 @@
 
 
 class BrokenVariantTest(unittest.TestCase):
-    """Each of these faults puts two maps into one step; a search that missed one would be blind."""
+    """Each of these faults runs one step under two maps; the search must detect every one."""
 
     def two_maps(self, **options):
         return search(Setup(ranks=2, proposes=False, stops_at_fault=True, **options)).two_maps
