--- a/carawayhub/groups/lease.py
+++ b/carawayhub/groups/lease.py
@@ -179,12 +179,10 @@
 def _spread(group: str, candidates: Sequence[Witness]) -> list[Witness]:
     """Order candidates so that every prefix of the list is spread over the failure domains."""
     by_name = {each.name: each for each in candidates}
-    domain_counts: dict[str, int] = {}
+    counts: dict[str, int] = {}
     sort_keys: list[tuple[int, int, Witness]] = []
-    for at, name in enumerate(ranked(f"lease {group}", by_name)):
+    for position, name in enumerate(ranked(f"lease {group}", by_name)):
         each = by_name[name]
-        domain_rank = domain_counts[each.failure_domain] = (
-            domain_counts.get(each.failure_domain, 0) + 1
-        )
-        sort_keys.append((domain_rank, at, each))
+        nth = counts[each.failure_domain] = counts.get(each.failure_domain, 0) + 1
+        sort_keys.append((nth, position, each))
     return [each for _, _, each in sorted(sort_keys, key=lambda sort_key: sort_key[:2])]
--- a/carawayhub/groups/membership.py
+++ b/carawayhub/groups/membership.py
@@ -78,9 +78,7 @@
         raise GroupError(Code.RANK_MALFORMED, f"rank {port.rank} has no map")
     found = await port.read_map(wanted)
     if found.id != wanted:
-        raise GroupError(
-            Code.RANK_MALFORMED, f"rank {port.rank} returned map {found.id} instead of {wanted}"
-        )
+        raise GroupError(Code.RANK_MALFORMED, f"rank {port.rank} returned another map: {found.id}")
     return found
 
 
