--- a/carawayhub/groups/decider.py
+++ b/carawayhub/groups/decider.py
@@ -209,7 +209,7 @@
         """Read all ranks and have them promise to obey no decider with a lower term.
 
         The first read asks for no promise but carries the number of this decider. Without it, the
-        reads of the decider in charge look the same as those of a decider that must not issue any.
+        reads of the decider in charge look the same as those of a decider that should send nothing.
         """
         states = await self._read(Term(0, self._term.decider))
         highest = max(state.promised.number for state in states.values())
