--- a/carawayhub/groups/settle.py
+++ b/carawayhub/groups/settle.py
@@ -7,18 +7,18 @@
 from carawayhub.clock import Clock
 from carawayhub.codes import Code
 from carawayhub.errors import GroupError
-from carawayhub.groups.change import Handling, Verdict
+from carawayhub.groups.change import ChangeProgress, Verdict
 from carawayhub.groups.orders import Order, Read, Reply
 from carawayhub.groups.ranks import RankPort
-from carawayhub.groups.rounds import ORDER_TIMEOUT, give
+from carawayhub.groups.rounds import ORDER_TIMEOUT_SECONDS, send_orders
 
 RETRY_SECONDS = 0.02
-PAUSE_THRESHOLD_SECONDS = 3 * ORDER_TIMEOUT
+PAUSE_THRESHOLD_SECONDS = 3 * ORDER_TIMEOUT_SECONDS
 
 
 async def settle(
     ports: Sequence[RankPort],
-    handling: Handling,
+    handling: ChangeProgress,
     clock: Clock,
     agree_by: float,
     lost_after: float,
@@ -47,19 +47,19 @@
             handling = handling.withdraw()
         known = handling
         orders = _orders(ports, handling)
-        replies = await give(ports, orders)
+        replies = await send_orders(ports, orders)
         handling = _merge_replies(handling, replies)
         # After a pause of this process its orders are based on outdated rank states. They are
         # harmless, since ranks keep their votes, but would be rejected: read the ranks first.
         if clock.monotonic() - round_began > PAUSE_THRESHOLD_SECONDS:
-            handling = _merge_replies(handling, await give(ports, _reads(handling)))
+            handling = _merge_replies(handling, await send_orders(ports, _reads(handling)))
         _check_silence(silent_since, orders, replies, round_began, lost_after)
         if handling == known:
             await anyio.sleep(RETRY_SECONDS)
     return handling.verdict
 
 
-def _orders(ports: Sequence[RankPort], handling: Handling) -> dict[int, Order]:
+def _orders(ports: Sequence[RankPort], handling: ChangeProgress) -> dict[int, Order]:
     rank_orders = ((port.rank, handling.order(port.rank)) for port in ports)
     return {rank: order for rank, order in rank_orders if order is not None}
 
@@ -78,14 +78,14 @@
             raise GroupError(Code.RANK_UNREACHABLE, f"rank {rank} did not reply during a change")
 
 
-def _reads(handling: Handling) -> dict[int, Order]:
+def _reads(handling: ChangeProgress) -> dict[int, Order]:
     return {rank: Read(term=handling.term) for rank in range(len(handling.votes))}
 
 
-def _merge_replies(handling: Handling, replies: Mapping[int, Reply]) -> Handling:
+def _merge_replies(handling: ChangeProgress, replies: Mapping[int, Reply]) -> ChangeProgress:
     for rank, reply in replies.items():
         formation = reply.state.formation
         if formation is None or formation.id != handling.change.formation:
             raise GroupError(Code.GROUP_BROKEN, f"rank {rank} left the formation")
-        handling = handling.learn(reply.state)
+        handling = handling.with_state(reply.state)
     return handling
