--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -144,7 +144,7 @@
             endpoint=name, incarnation=1, state=ServingState.SERVING, permit=1e6, capacity=64
         )
         router.observe(report, clock.monotonic())
-    return _us(lambda: router.states(heard_only=True)) / HEARD
+    return _us(lambda: router.states(reported_only=True)) / HEARD
 
 
 def _vm_list(cfg: Configuration) -> VmList:
--- a/carawayhub/entry/process.py
+++ b/carawayhub/entry/process.py
@@ -130,7 +130,7 @@
         await runtime.stop.wait()
         runtime.member.leave()
         self._update_away()
-        deadline = self._directory.kept_until(runtime.clock.monotonic())
+        deadline = self._directory.answers_expire_at(runtime.clock.monotonic())
         runtime.audit.record(
             Subject.PROCESS, runtime.identity.key, "serving", "leaving", runtime.stop.reason
         )
@@ -153,7 +153,7 @@
             self._audit_endpoints()
 
     def _audit_endpoints(self) -> None:
-        for row in self._router.states(heard_only=True):
+        for row in self._router.states(reported_only=True):
             before = self._rows.get(row.endpoint)
             condition = row.condition.value
             if before is not None and before != condition:
@@ -223,7 +223,7 @@
         """Note that a peer cannot be reached."""
         self._runs.pop(peer.name, None)
         if peer.role is ProcessRole.AGENT:
-            self._router.lost(peer.name)
+            self._router.mark_link_lost(peer.name)
             self._reports.lost(peer.name)
 
     def members_changed(self) -> None:
@@ -300,7 +300,7 @@
         }
         if self.runtime.member.leaving:
             away.add(identity.name)
-        self._directory.set_away(away)
+        self._directory.set_unavailable(away)
 
     # What operators see.
 
--- a/carawayhub/routing/candidate.py
+++ b/carawayhub/routing/candidate.py
@@ -1,4 +1,4 @@
-"""What one entry knows of one endpoint: permit, load, pace, health and ramp."""
+"""State of one endpoint as seen by this entry: permit, load, latency, health and ramp."""
 
 import math
 
@@ -10,9 +10,9 @@
 
 MIN_FACTOR = 0.02
 RAMP_FLOOR = 0.05
-PACE_GAIN = 0.1
+TTFB_SMOOTHING = 0.1
 STALL_SECONDS = 3.0
-STALL_PACES = 10.0
+STALL_TTFB_MULTIPLE = 10.0
 FAILURES_TO_EJECT = 3
 EJECT_SECONDS = 1.0
 MAX_EJECT_SECONDS = 30.0
@@ -25,19 +25,21 @@
 
 
 class Candidate:
-    """One endpoint as the router sees it.
+    """Routing state of one endpoint.
 
     Attributes:
         endpoint: Its configuration.
-        load: Estimated requests at it.
-        blocks: Prefix blocks it is known to hold.
-        weight: Its part of new work against a healthy endpoint of the same size; set by the pool.
-        pace: Recent seconds to the first byte of this entry's own requests, 0 for unknown.
-        failures: Attempts that failed one after the other.
-        leaving: Whether the platform's list of VMs says that it is leaving or gone.
-        permit_until: Reading of the clock until which it may be sent work.
-        leader: The endpoint with rank 0 of its lock-step group, None where it is itself that, or
-            alone, or the leader was never heard.
+        load: Estimated number of requests at the endpoint.
+        blocks: Prefix blocks that it is known to hold.
+        weight: Its share of new requests relative to a healthy endpoint of the same capacity; set
+            by the pool.
+        ttfb_seconds: Moving average of the time to first byte of this entry's requests, 0 if
+            unknown.
+        failures: Number of consecutive failed attempts.
+        leaving: Whether the platform lists its VM as leaving or gone.
+        permit_until: Timestamp until which requests may be sent to it.
+        leader: The endpoint with rank 0 of its lock-step group. None if this endpoint is the
+            leader, has no group, or the leader has not sent a report.
     """
 
     __slots__ = (
@@ -55,7 +57,7 @@
         "leader",
         "leaving",
         "load",
-        "pace",
+        "ttfb_seconds",
         "permit_until",
         "weight",
     )
@@ -65,7 +67,7 @@
         self.load = LoadEstimate()
         self.blocks = KnownBlocks()
         self.weight = 1.0
-        self.pace = 0.0
+        self.ttfb_seconds = 0.0
         self.failures = 0
         self.leaving = False
         self.leader: Candidate | None = None
@@ -86,62 +88,65 @@
 
     @property
     def capacity(self) -> int:
-        """Requests it can run at once: what it said last, or what the operators declare."""
+        """Maximum concurrent requests: the last reported value, or else the configured one."""
         report = self._report
         return max(1, report.capacity if report is not None else self.endpoint.capacity)
 
     @property
-    def heard(self) -> bool:
-        """Whether a report of it was ever taken."""
+    def has_report(self) -> bool:
+        """Whether a report has been received."""
         return self._report is not None
 
     @property
     def step_seconds(self) -> float:
-        """Its last reported step time, 0 for unknown."""
+        """Last reported step time, 0 if unknown."""
         return self._report.step_seconds if self._report is not None else 0.0
 
-    def observe(self, report: EndpointReport, asked_at: float, now: float, room: int) -> bool:
-        """Take a report; return whether it is the first or changed if the endpoint may be used.
+    def observe(self, report: EndpointReport, asked_at: float, now: float, max_blocks: int) -> bool:
+        """Process a report.
 
-        An answer to an older heartbeat that comes late is passed over: it would bring back a state
-        that a newer one has ended.
+        A delayed answer to an older heartbeat is ignored, since it would restore an outdated
+        state.
 
         Args:
             report: The report.
-            asked_at: Reading of the clock when the heartbeat that it answers was sent.
-            now: Reading of the clock.
-            room: Prefix blocks to remember at most.
+            asked_at: Timestamp at which the heartbeat that it answers was sent.
+            now: Current timestamp.
+            max_blocks: Maximum number of prefix blocks to remember.
+
+        Returns:
+            Whether this is the first report or changed whether the endpoint is permitted.
         """
         if asked_at < self._asked_at:
             return False
         self._asked_at = asked_at
-        before = self.permitted(now) if self.heard else None
+        was_permitted = self.permitted(now) if self.has_report else None
         last = self._report
         if last is not None and last.incarnation != report.incarnation:
             self.blocks.forget()
         if self._lost_at > -math.inf:
-            self._regained(now)
+            self._on_link_restored(now)
         self._report = report
         self.permit_until = self._permit(report, asked_at, last)
-        self.load.reported(report.running + report.queued, asked_at - report.load_age)
-        self.blocks.observe(report.cache, room)
-        return before != self.permitted(now)
+        self.load.record_report(report.running + report.queued, asked_at - report.load_age)
+        self.blocks.observe(report.cache, max_blocks)
+        return was_permitted != self.permitted(now)
 
-    def lost(self, now: float) -> None:
-        """Note that its link is gone: the permit ends and cache events were missed."""
+    def mark_link_lost(self, now: float) -> None:
+        """Record the loss of its link, which ends the permit and may have lost cache events."""
         self.permit_until = -math.inf
         self.blocks.forget()
         if self._lost_at == -math.inf:
             self._lost_at = now
 
-    def forgettable(self, now: float) -> bool:
-        """Return whether its link has been gone for so long that nothing of it is of use."""
+    def evictable(self, now: float) -> bool:
+        """Return whether its link was lost so long ago that its state can be dropped."""
         if self._lost_at == -math.inf or self.load.own > 0.0:
             return False
         return now - self._lost_at > FORGET_SECONDS
 
     def permitted(self, now: float) -> bool:
-        """Return whether work may be sent to it."""
+        """Return whether requests may be sent to it."""
         report = self._report
         if report is None or report.state is not ServingState.SERVING:
             return False
@@ -151,43 +156,47 @@
 
     @property
     def group_failed(self) -> bool:
-        """Whether the agent beside rank 0 says that the group of this endpoint cannot step.
+        """Whether the agent of rank 0 reports that this endpoint's group cannot step.
 
-        Only that agent knows. Without this, work would go to the group's other endpoints, whose
-        engines answer their own agents well, and would wait there for steps that are not made. A
-        leader without a link says nothing either way.
+        Only that agent knows. Without this check, requests would go to the group's other
+        endpoints, whose engines still answer their own agents, and would wait for steps that never
+        run. If the link to the leader is lost, the group is not considered failed.
         """
         return self.leader is not None and self.leader.failed
 
     @property
     def failed(self) -> bool:
-        """Whether its agent can be heard and says that it takes no work for a failure."""
+        """Whether its link is up and its agent reports a failure."""
         report = self._report
-        heard = report is not None and self._lost_at == -math.inf
-        return heard and report is not None and report.state is ServingState.FAILED
+        has_link = report is not None and self._lost_at == -math.inf
+        return has_link and report is not None and report.state is ServingState.FAILED
 
-    def progressed(self, now: float) -> None:
-        """Note that bytes of an answer arrived."""
+    def record_progress(self, now: float) -> None:
+        """Record that response bytes arrived."""
         self._last_progress = now
 
-    def begun(self, cost: float, now: float) -> None:
-        """Count a request that is sent to it."""
+    def record_start(self, cost: float, now: float) -> None:
+        """Record a request that is sent to it."""
         if self.load.own <= 0.0:
             self._last_progress = now
-        self.load.begun(cost, now)
-
-    def first_byte(self, seconds: float) -> None:
-        """Take the time to the first byte of one answer into its pace."""
-        self.pace = seconds if self.pace <= 0.0 else self.pace + PACE_GAIN * (seconds - self.pace)
+        self.load.record_start(cost, now)
+
+    def record_first_byte(self, seconds: float) -> None:
+        """Add one time to first byte to the moving average."""
+        self.ttfb_seconds = (
+            seconds
+            if self.ttfb_seconds <= 0.0
+            else self.ttfb_seconds + TTFB_SMOOTHING * (seconds - self.ttfb_seconds)
+        )
 
-    def ended(self, cost: float, ok: bool, now: float) -> None:
-        """Count the end of a request.
+    def record_end(self, cost: float, ok: bool, now: float) -> None:
+        """Record the end of a request and eject the endpoint after repeated failures.
 
-        Guards against an endpoint that refuses at once: it looks idle and would get all work.
-        After ``FAILURES_TO_EJECT`` failures in a row it gets few requests for a time that
-        doubles with each further failure; one success ends that.
+        An endpoint that rejects requests immediately looks idle and would attract all of them.
+        After ``FAILURES_TO_EJECT`` consecutive failures it gets few requests for a period that
+        doubles with each further failure. One success ends the ejection.
         """
-        self.load.ended(cost, now)
+        self.load.record_end(cost, now)
         self._last_progress = now
         if ok:
             self.failures = 0
@@ -200,29 +209,29 @@
             self._ejected_until = now + seconds
 
     def stalled(self, now: float) -> bool:
-        """Return whether its engine or this entry's requests at it make no progress.
+        """Return whether its engine or this entry's requests make no progress.
 
-        Guards against a rank that hangs without failing: its load stays at what it was, its
-        requests never end. It shows as running requests without a token, or as own requests
-        without a byte for much longer than its pace.
+        A rank that hangs without failing keeps its load, and its requests never end. It is
+        detected when its running requests produce no tokens, or when this entry's requests receive
+        no bytes for much longer than its usual time to first byte.
         """
         if self._engine_silent():
             return True
         if self.load.own <= 0.0:
             return False
-        patience = max(STALL_SECONDS, STALL_PACES * self.pace)
+        patience = max(STALL_SECONDS, STALL_TTFB_MULTIPLE * self.ttfb_seconds)
         return now - self._last_progress > patience
 
     def ejected(self, now: float) -> bool:
-        """Return whether it is held off after failures in a row."""
+        """Return whether it is ejected after consecutive failures."""
         return now < self._ejected_until
 
     def ramp(self, now: float, wall: float) -> float:
-        """Return the part of full work it is to get, from the operators' ramp and its own past."""
+        """Return the fraction of its full share to send, from the configured and settling ramps."""
         return min(self._declared_ramp(wall), self._settling(now))
 
     def row(self, now: float, wall: float) -> EndpointRow:
-        """Return its row for the status table."""
+        """Return its status row."""
         condition, reason = self._condition(now, wall)
         return EndpointRow(
             endpoint=self.name,
@@ -247,22 +256,23 @@
     def _permit(
         self, report: EndpointReport, asked_at: float, last: EndpointReport | None
     ) -> float:
-        """Return until when the report permits dispatch.
+        """Return the timestamp until which the report permits dispatch.
 
-        The permit counts from the moment the heartbeat was sent, so a slow answer makes it
-        shorter and never longer than what the agent granted. A new grant does not shorten an
-        earlier one of the same incarnation.
+        The permit counts from when the heartbeat was sent, so a slow answer can only shorten it
+        and never extend it beyond what the agent granted. A new grant does not shorten an earlier
+        one of the same incarnation.
         """
         until = asked_at + report.permit
         if last is not None and last.incarnation == report.incarnation:
             return max(until, self.permit_until)
         return until
 
-    def _regained(self, now: float) -> None:
-        """Hold back an endpoint whose link comes and goes.
+    def _on_link_restored(self, now: float) -> None:
+        """Start a settling ramp after the link is restored.
 
-        Guards against flapping: each return would send a burst to an endpoint that is about to go
-        again. The time until full work doubles with each loss within a minute.
+        Without it, a flapping endpoint would get a burst of requests each time its link is
+        restored, shortly before it is lost again. The settling time doubles with each loss within
+        a minute.
         """
         if now - self._settled_at > FLAP_MEMORY_SECONDS:
             self._flaps = 0
@@ -275,53 +285,53 @@
     def _settling(self, now: float) -> float:
         if now >= self._settled_at:
             return 1.0
-        part = (now - self._settling_from) / (self._settled_at - self._settling_from)
-        return max(RAMP_FLOOR, part)
+        fraction = (now - self._settling_from) / (self._settled_at - self._settling_from)
+        return max(RAMP_FLOOR, fraction)
 
     def _declared_ramp(self, wall: float) -> float:
         endpoint = self.endpoint
         if endpoint.state is not EndpointState.JOINING or endpoint.ramp_until <= endpoint.ramp_from:
             return 1.0
-        part = (wall - endpoint.ramp_from) / (endpoint.ramp_until - endpoint.ramp_from)
-        return min(1.0, max(RAMP_FLOOR, part))
+        fraction = (wall - endpoint.ramp_from) / (endpoint.ramp_until - endpoint.ramp_from)
+        return min(1.0, max(RAMP_FLOOR, fraction))
 
     def _condition(self, now: float, wall: float) -> tuple[Condition, str]:
-        """Return its condition with the reason: what others say comes before what is seen here."""
-        return self._told_condition() or self._seen_condition(now, wall)
+        """Return its condition and reason; reported conditions override observed ones."""
+        return self._reported_condition() or self._observed_condition(now, wall)
 
-    def leaves(self) -> bool:
-        """Return whether it leaves as planned, by what others say of it."""
-        told = self._told_condition()
-        return told is not None and told[0] is Condition.LEAVING
+    def leaving_as_planned(self) -> bool:
+        """Return whether the configuration, the VM list or its agent marks it as leaving."""
+        reported = self._reported_condition()
+        return reported is not None and reported[0] is Condition.LEAVING
 
-    def _told_condition(self) -> tuple[Condition, str] | None:
+    def _reported_condition(self) -> tuple[Condition, str] | None:
         report = self._report
         if self.endpoint.state is EndpointState.LEAVING:
-            return Condition.LEAVING, "the configuration says that it is leaving"
+            return Condition.LEAVING, "marked as leaving in the configuration"
         if self.leaving:
-            return Condition.LEAVING, "the list of VMs says that it is leaving or gone"
+            return Condition.LEAVING, "listed by the platform as leaving or gone"
         if report is None:
-            return Condition.UNHEARD, "no report yet"
+            return Condition.UNHEARD, "no report received yet"
         match report.state:
             case ServingState.LEAVING:
-                return Condition.LEAVING, report.reason or "its agent says that it is leaving"
+                return Condition.LEAVING, report.reason or "reported as leaving by its agent"
             case ServingState.STARTING:
-                return Condition.STARTING, report.reason or "its agent says that it is starting"
+                return Condition.STARTING, report.reason or "reported as starting by its agent"
             case ServingState.FAILED:
-                return Condition.FAILED, report.reason or "its agent says that it failed"
+                return Condition.FAILED, report.reason or "reported as failed by its agent"
         if self.leader is not None and self.leader.failed:
-            return Condition.FAILED, f"its group cannot step, says {self.leader.name}"
+            return Condition.FAILED, f"its group cannot step, reported by {self.leader.name}"
         return None
 
-    def _seen_condition(self, now: float, wall: float) -> tuple[Condition, str]:
+    def _observed_condition(self, now: float, wall: float) -> tuple[Condition, str]:
         if now >= self.permit_until:
-            return Condition.EXPIRED, "its link is gone or its permit has run out"
+            return Condition.EXPIRED, "its link is lost or its permit expired"
         if self.ejected(now):
-            return Condition.FAILING, f"{self.failures} attempts failed in a row"
+            return Condition.FAILING, f"{self.failures} consecutive attempts failed"
         if self.stalled(now):
             return Condition.STALLED, "requests make no progress"
         if self.ramp(now, wall) < 1.0:
-            return Condition.RAMPING, f"gets {self.ramp(now, wall):.0%} of full work"
+            return Condition.RAMPING, f"receives {self.ramp(now, wall):.0%} of its full share"
         if self.weight < SLOW_BELOW:
             return Condition.SLOW, f"its group is slow, weight {self.weight:.2f}"
         return Condition.SERVING, ""
--- a/carawayhub/routing/directory.py
+++ b/carawayhub/routing/directory.py
@@ -9,7 +9,7 @@
 from carawayhub.config.model import Configuration, EndpointState, EntryNode, FleetOptions
 
 MAX_VIEWS = 512
-DRAWS = 4
+MAX_DRAWS = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,9 +50,16 @@
         members: All of them.
     """
 
-    __slots__ = ("_before", "_domain_of", "_elsewhere", "_inside", "_rotations", "members")
+    __slots__ = (
+        "_declared_counts",
+        "_domain_of",
+        "_in_other_domains",
+        "_in_domain",
+        "_rotations",
+        "members",
+    )
 
-    def __init__(self, domain_of: Mapping[str, str], before: Counter[str]) -> None:
+    def __init__(self, domain_of: Mapping[str, str], declared_counts: Counter[str]) -> None:
         """Make a view.
 
         Args:
@@ -61,15 +68,15 @@
         """
         self.members = sorted(domain_of)
         self._domain_of = domain_of
-        self._before = before
-        self._inside: dict[str | None, list[str]] = {}
-        self._elsewhere: dict[str | None, list[str]] = {}
+        self._declared_counts = declared_counts
+        self._in_domain: dict[str | None, list[str]] = {}
+        self._in_other_domains: dict[str | None, list[str]] = {}
         self._rotations: dict[tuple[str | None, bool], _Rotation] = {}
 
     @property
     def domains(self) -> Collection[str]:
         """The failure domains in which entries are declared."""
-        return self._before.keys()
+        return self._declared_counts.keys()
 
     def first(self, domain: str | None, rng: random.Random) -> str:
         """Return the first address: of the caller's domain, each entry in its turn.
@@ -78,38 +85,40 @@
         all its callers. Only the part of the callers stays that its live entries had before.
         """
         own = self._own(domain)
-        stays = bool(own) and rng.random() * self._before[domain or ""] < len(own)
-        stays = stays or len(own) == len(self.members)
-        rotation = self._rotations.get((domain, stays))
+        stay_in_domain = bool(own) and rng.random() * self._declared_counts[domain or ""] < len(own)
+        stay_in_domain = stay_in_domain or len(own) == len(self.members)
+        rotation = self._rotations.get((domain, stay_in_domain))
         if rotation is None:
-            rotation = _Rotation(own if stays else self._others(domain))
-            self._rotations[domain, stays] = rotation
+            rotation = _Rotation(own if stay_in_domain else self._others(domain))
+            self._rotations[domain, stay_in_domain] = rotation
         return rotation.next(rng)
 
-    def next(self, taken: list[str], domain: str | None, rng: random.Random) -> str:
+    def next(self, chosen_names: list[str], domain: str | None, rng: random.Random) -> str:
         """Return a further address: the second of the caller's domain, the rest of others."""
-        wanted = self._own(domain) if len(taken) == 1 else self._others(domain)
-        for _ in range(DRAWS if wanted else 0):
+        wanted = self._own(domain) if len(chosen_names) == 1 else self._others(domain)
+        for _ in range(MAX_DRAWS if wanted else 0):
             drawn = rng.choice(wanted)
-            if drawn not in taken:
+            if drawn not in chosen_names:
                 return drawn
-        left = [name for name in wanted if name not in taken]
-        return rng.choice(left or [name for name in self.members if name not in taken])
+        remaining = [name for name in wanted if name not in chosen_names]
+        return rng.choice(remaining or [name for name in self.members if name not in chosen_names])
 
     def _own(self, domain: str | None) -> list[str]:
-        if domain not in self._inside:
+        if domain not in self._in_domain:
             self._split(domain)
-        return self._inside[domain]
+        return self._in_domain[domain]
 
     def _others(self, domain: str | None) -> list[str]:
-        if domain not in self._elsewhere:
+        if domain not in self._in_other_domains:
             self._split(domain)
-        return self._elsewhere[domain]
+        return self._in_other_domains[domain]
 
     def _split(self, domain: str | None) -> None:
         domain_of = self._domain_of
-        self._inside[domain] = [name for name in self.members if domain_of[name] == domain]
-        self._elsewhere[domain] = [name for name in self.members if domain_of[name] != domain]
+        self._in_domain[domain] = [name for name in self.members if domain_of[name] == domain]
+        self._in_other_domains[domain] = [
+            name for name in self.members if domain_of[name] != domain
+        ]
 
 
 class EntryDirectory:
@@ -120,14 +129,14 @@
     domain, the rest of others, so a caller survives the death of its entry and of its domain.
     """
 
-    __slots__ = ("_away", "_clock", "_entries", "_fleet", "_longest_ttl", "_rng", "_views")
+    __slots__ = ("_unavailable", "_clock", "_entries", "_fleet", "_longest_ttl", "_rng", "_views")
 
     def __init__(self, clock: Clock, rng: random.Random) -> None:
         self._clock = clock
         self._rng = rng
         self._entries: dict[str, EntryNode] = {}
         self._fleet = FleetOptions()
-        self._away: frozenset[str] = frozenset()
+        self._unavailable: frozenset[str] = frozenset()
         self._longest_ttl = 0.0
         self._views: dict[frozenset[str], _View] = {}
 
@@ -139,11 +148,11 @@
         self._fleet = cfg.fleet
         self._longest_ttl = max(self._longest_ttl, cfg.fleet.answer_ttl)
 
-    def set_away(self, names: Collection[str]) -> None:
+    def set_unavailable(self, names: Collection[str]) -> None:
         """Name the entries that are leaving or suspected; answers leave them out from now on."""
-        away = frozenset(names)
-        if away != self._away:
-            self._away = away
+        unavailable = frozenset(names)
+        if unavailable != self._unavailable:
+            self._unavailable = unavailable
             self._views.clear()
 
     def answer(
@@ -167,7 +176,7 @@
         ttl = self._fleet.answer_ttl
         return EntriesAnswer(addresses, self._clock.wall() + ttl, ttl)
 
-    def kept_until(self, left_at: float) -> float:
+    def answers_expire_at(self, left_at: float) -> float:
         """Return when the last kept answer that names a leaving entry has passed.
 
         Other entries may go on naming it until they hear that it is leaving, or suspect it: one
@@ -198,7 +207,7 @@
             for name, domain in declared.items()
             if self._entries[name].state is not EndpointState.LEAVING
         }
-        live = {name: domain for name, domain in staying.items() if name not in self._away}
+        live = {name: domain for name, domain in staying.items() if name not in self._unavailable}
         serving = live if live or preferred else staying
         return _View(serving, Counter(declared.values()))
 
--- a/carawayhub/routing/load.py
+++ b/carawayhub/routing/load.py
@@ -1,26 +1,27 @@
-"""How many requests an endpoint has now, from a late report and this entry's own dispatches."""
+"""Estimates an endpoint's current load from delayed reports and this entry's own requests."""
 
 from collections import deque
 
 MAX_EVENTS = 4096
-GAIN = 0.2
-MIN_OWN = 0.1
+SMOOTHING = 0.2
+MIN_MEAN_OWN = 0.1
 MAX_ENTRIES = 16.0
 
 
 class LoadEstimate:
-    """The load of one endpoint in requests.
+    """Estimated load of one endpoint, in requests.
 
-    Guards against the herd that a late report causes: all entries see the same endpoint idle, all
-    send to it, and none sees the other's requests until the next report. What this entry itself
-    sent or finished after the report was sampled is added on top, times the number of entries that
-    seem to share the endpoint: all see the same reports, so the others have done much the same.
+    Delayed reports cause a thundering herd: all entries see the same idle endpoint and send to it,
+    and none sees the others' requests until the next report. To prevent this, the requests that
+    this entry sent or finished since the report was sampled are multiplied by the estimated number
+    of entries that use the endpoint. Other entries receive the same reports and are likely to act
+    alike.
 
     Attributes:
-        own: Requests of this entry that are in flight.
-        known: Requests at the endpoint that were reported or are this entry's own.
-        value: The same with what the other entries are likely to have sent since; for comparing
-            endpoints, not for refusing work.
+        own: This entry's requests in flight.
+        known: Requests at the endpoint, from the last report and this entry's own requests since.
+        value: ``known`` plus the requests that other entries are likely to have sent since. Used
+            to compare endpoints, not to reject requests.
     """
 
     __slots__ = (
@@ -29,7 +30,7 @@
         "_mean_reported",
         "_reported",
         "_sampled_at",
-        "_unseen",
+        "_unreported",
         "known",
         "own",
         "value",
@@ -43,16 +44,16 @@
         self._mean_reported = 0.0
         self._reported = 0.0
         self._sampled_at = 0.0
-        self._unseen = 0.0
+        self._unreported = 0.0
         self._events: deque[tuple[float, float]] = deque()
 
-    def reported(self, requests: float, sampled_at: float) -> None:
-        """Take the endpoint's own count.
+    def record_report(self, requests: float, sampled_at: float) -> None:
+        """Process the request count that the endpoint reports.
 
         Args:
-            requests: Requests running and queued there.
-            sampled_at: Reading of this entry's clock before which the count was not taken; what
-                this entry sent later counts as not yet contained.
+            requests: Requests running and queued at the endpoint.
+            sampled_at: Earliest time, on this entry's clock, at which the count was sampled.
+                Requests sent later are treated as not included in it.
         """
         if sampled_at < self._sampled_at:
             return
@@ -60,21 +61,21 @@
         self._sampled_at = sampled_at
         events = self._events
         while events and events[0][0] <= sampled_at:
-            self._unseen -= events.popleft()[1]
+            self._unreported -= events.popleft()[1]
         if not events:
-            self._unseen = 0.0
-        own_then = self.own - self._unseen
-        self._mean_own += GAIN * (own_then - self._mean_own)
-        self._mean_reported += GAIN * (requests - self._mean_reported)
+            self._unreported = 0.0
+        own_at_sample = self.own - self._unreported
+        self._mean_own += SMOOTHING * (own_at_sample - self._mean_own)
+        self._mean_reported += SMOOTHING * (requests - self._mean_reported)
         self._update()
 
-    def begun(self, cost: float, now: float) -> None:
-        """Count a request that was sent."""
+    def record_start(self, cost: float, now: float) -> None:
+        """Record a request that was sent."""
         self.own += cost
         self._add(cost, now)
 
-    def ended(self, cost: float, now: float) -> None:
-        """Count a request that came to its end."""
+    def record_end(self, cost: float, now: float) -> None:
+        """Record a request that ended."""
         self.own = max(0.0, self.own - cost)
         self._add(-cost, now)
 
@@ -82,14 +83,17 @@
         if len(self._events) >= MAX_EVENTS:
             self._events.popleft()
         self._events.append((now, delta))
-        self._unseen += delta
+        self._unreported += delta
         self._update()
 
     def _update(self) -> None:
-        self.known = max(self.own, self._reported + self._unseen)
-        self.value = max(self.own, self._reported + self._unseen * self._entries())
+        self.known = max(self.own, self._reported + self._unreported)
+        self.value = max(self.own, self._reported + self._unreported * self._estimated_entries())
 
-    def _entries(self) -> float:
-        """Return how many entries like this one seem to send to the endpoint."""
-        ratio = self._mean_reported / max(self._mean_own, MIN_OWN)
+    def _estimated_entries(self) -> float:
+        """Return the estimated number of entries that use the endpoint.
+
+        It assumes that they send as much to it as this one.
+        """
+        ratio = self._mean_reported / max(self._mean_own, MIN_MEAN_OWN)
         return min(MAX_ENTRIES, max(1.0, ratio))
--- a/carawayhub/routing/prefixes.py
+++ b/carawayhub/routing/prefixes.py
@@ -1,4 +1,4 @@
-"""Which prompt prefixes each endpoint is known to hold, from late cache events with gaps."""
+"""Tracks the prompt prefixes that each endpoint holds, from delayed and lossy cache events."""
 
 import hashlib
 from collections.abc import Sequence
@@ -11,19 +11,19 @@
 
 
 class KnownBlocks:
-    """The prefix blocks that one endpoint is known to hold.
+    """Prefix blocks that one endpoint is known to hold.
 
-    Guards against lost events: an eviction that was never heard would leave a block that is gone
-    looking cached, and requests would keep going to a loaded endpoint for nothing. Events carry
-    sequence numbers; at a gap all that was known is dropped, and only what later events add counts.
-    Memory holds because the oldest blocks are forgotten past the room that is given.
+    If an eviction event is lost, the block still looks cached, and requests keep going to a loaded
+    endpoint without a cache hit. Events carry sequence numbers, so a gap in them drops all known
+    blocks, and only blocks added by later events count. To bound memory, the oldest blocks are
+    dropped above a maximum.
     """
 
-    __slots__ = ("_blocks", "_next", "gaps")
+    __slots__ = ("_blocks", "_next_sequence", "gaps")
 
     def __init__(self) -> None:
         self._blocks: dict[int, None] = {}
-        self._next: int | None = None
+        self._next_sequence: int | None = None
         self.gaps = 0
 
     def __contains__(self, block: int) -> bool:
@@ -32,29 +32,29 @@
     def __len__(self) -> int:
         return len(self._blocks)
 
-    def observe(self, events: CacheEvents, room: int) -> None:
-        """Apply the events of one report; events heard before are skipped.
+    def observe(self, events: CacheEvents, max_blocks: int) -> None:
+        """Apply the events of one report, skipping a report that was applied before.
 
         Args:
             events: The events.
-            room: Blocks to remember at most.
+            max_blocks: Maximum number of blocks to remember.
         """
         count = len(events.added) + len(events.removed)
-        if events.first + count <= (self._next or 0):
+        if events.first + count <= (self._next_sequence or 0):
             return
-        if self._next is not None and events.first != self._next:
+        if self._next_sequence is not None and events.first != self._next_sequence:
             self._blocks.clear()
             self.gaps += 1
-        self._next = events.first + count
-        self._apply(events, room)
+        self._next_sequence = events.first + count
+        self._apply(events, max_blocks)
 
     def forget(self) -> None:
-        """Drop everything: the endpoint was restarted, or its events were not heard for a time."""
+        """Drop all blocks after the endpoint restarted or its events may have been missed."""
         self._blocks.clear()
-        self._next = None
+        self._next_sequence = None
 
-    def leading(self, blocks: Sequence[int]) -> int:
-        """Return how many of ``blocks``, counted from the start, are held."""
+    def count_leading(self, blocks: Sequence[int]) -> int:
+        """Return the number of leading ``blocks`` that are held."""
         known = self._blocks
         count = 0
         for block in blocks:
@@ -63,35 +63,37 @@
             count += 1
         return count
 
-    def _apply(self, events: CacheEvents, room: int) -> None:
+    def _apply(self, events: CacheEvents, max_blocks: int) -> None:
         for block in events.added:
             self._blocks.pop(block, None)
             self._blocks[block] = None
         for block in events.removed:
             self._blocks.pop(block, None)
-        while len(self._blocks) > room:
+        while len(self._blocks) > max_blocks:
             del self._blocks[next(iter(self._blocks))]
 
 
-def blocks_room(endpoints: int) -> int:
-    """Return how many blocks to remember of each endpoint, about 75 bytes each."""
+def max_blocks_per_endpoint(endpoints: int) -> int:
+    """Return how many blocks to remember per endpoint; each takes about 75 bytes."""
     return max(MIN_BLOCKS, TOTAL_BLOCKS // max(1, endpoints))
 
 
 def home_key(blocks: Sequence[int]) -> int:
-    """Return the number by which the home of a prefix is found.
+    """Return the rendezvous hashing key of a prefix.
 
-    The endpoint with the highest ``rendezvous_rank`` for it is the home. Entries agree without a
-    message, so a prefix is computed once and not once for each entry.
+    The endpoint with the highest ``rendezvous_rank`` for the key is the prefix's home. All entries
+    choose the same home without exchanging messages, so a prefix is computed once and not once per
+    entry.
 
     Args:
-        blocks: Hashes of the prompt's prefix blocks, at least one; the first ``HOME_DEPTH`` decide.
+        blocks: Hashes of the prompt's prefix blocks, at least one. Only the first ``HOME_DEPTH``
+            determine the key.
     """
     return blocks[min(len(blocks), HOME_DEPTH) - 1]
 
 
 def rendezvous_rank(name: str, key: int) -> int:
-    """Return the rank of ``name`` for ``key``; the highest of all names is the key's home."""
+    """Return the rank of ``name`` for ``key``; the name with the highest rank is the home."""
     mixed = (name_seed(name) ^ (key & _MASK)) * _MULTIPLIER & _MASK
     return (mixed ^ mixed >> 32) * _MULTIPLIER & _MASK
 
@@ -102,7 +104,7 @@
 
 
 def name_seed(name: str) -> int:
-    """Return a 64-bit number for ``name`` that is the same in every process."""
+    """Return a 64-bit hash of ``name`` that is the same in every process."""
     seed = _SEEDS.get(name)
     if seed is None:
         digest = hashlib.blake2b(name.encode(), digest_size=8).digest()
--- a/carawayhub/routing/providers.py
+++ b/carawayhub/routing/providers.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Collection, Mapping
 
-FULL = 100.0
+TOTAL_PERCENT = 100.0
 
 
 class ProviderShares:
@@ -46,5 +46,5 @@
         if chosen not in names or total <= 0.0:
             return
         for name in names:
-            self._credit[name] += FULL * self._shares[name] / total
-        self._credit[chosen] -= FULL
+            self._credit[name] += TOTAL_PERCENT * self._shares[name] / total
+        self._credit[chosen] -= TOTAL_PERCENT
--- a/carawayhub/routing/query.py
+++ b/carawayhub/routing/query.py
@@ -123,11 +123,11 @@
         finished: Whether ``Router.finish`` was called.
     """
 
-    __slots__ = ("began", "cost", "endpoint", "finished", "first_byte_at")
+    __slots__ = ("sent_at", "cost", "endpoint", "finished", "first_byte_at")
 
-    def __init__(self, endpoint: str, cost: float, began: float) -> None:
+    def __init__(self, endpoint: str, cost: float, sent_at: float) -> None:
         self.endpoint = endpoint
         self.cost = cost
-        self.began = began
+        self.sent_at = sent_at
         self.first_byte_at: float | None = None
         self.finished = False
--- a/carawayhub/routing/router.py
+++ b/carawayhub/routing/router.py
@@ -1,4 +1,4 @@
-"""Choice of the endpoint for each attempt of a request."""
+"""Selects the endpoint for each attempt of a request."""
 
 import random
 from collections.abc import Collection
@@ -12,7 +12,7 @@
 from carawayhub.routing.candidate import Candidate
 from carawayhub.routing.catalogue import Catalogue
 from carawayhub.routing.pool import Pool, Tier
-from carawayhub.routing.prefixes import blocks_room
+from carawayhub.routing.prefixes import max_blocks_per_endpoint
 from carawayhub.routing.providers import ProviderShares
 from carawayhub.routing.query import (
     Choice,
@@ -25,18 +25,18 @@
 
 RETRY_SECONDS = 1.0
 RETRY_JITTER = 0.5
-SPILL_FROM = 0.6
+SPILL_START = 0.6
 SPILL_FULL = 0.9
-CEILING = 2.0
-CEILING_STEP = 0.1
+MAX_UTILISATION = 2.0
+UTILISATION_STEP = 0.1
 AFFINITY_SLACK = 0.6
 AFFINITY_FLOOR = 0.05
 
 
 class Router:
-    """Chooses endpoints and keeps this entry's own account of what runs where.
+    """Selects endpoints and tracks the requests that this entry has in flight.
 
-    Not safe for use from several threads.
+    Not thread-safe.
 
     Example:
         >>> choice = router.choose(query)  # doctest: +SKIP
@@ -74,13 +74,13 @@
         self._shares: dict[str, ProviderShares] = {}
 
     def configure(self, cfg: Configuration) -> None:
-        """Take a configuration into force; what is known of endpoints that stay is kept."""
+        """Apply a configuration, keeping the state of endpoints whose address is unchanged."""
         self._cfg = cfg
         now = self._clock.monotonic()
         self._candidates = {
             name: candidate
             for name, candidate in self._candidates.items()
-            if _same_place(candidate, cfg.endpoints.get(name)) and not candidate.forgettable(now)
+            if _same_address(candidate, cfg.endpoints.get(name)) and not candidate.evictable(now)
         }
         for name, candidate in self._candidates.items():
             candidate.endpoint = cfg.endpoints[name]
@@ -92,80 +92,86 @@
         self._shares = {model: self._provider_shares(cfg, model) for model in cfg.shares}
 
     def set_leaving(self, endpoints: Collection[str]) -> None:
-        """Name all endpoints whose VM the platform's list says is leaving or gone."""
+        """Set the endpoints whose VM the platform lists as leaving or gone."""
         self._leaving = frozenset(endpoints)
         for name, candidate in self._candidates.items():
             candidate.leaving = name in self._leaving
         self._invalidate()
 
     def observe(self, report: EndpointReport, asked_at: float) -> None:
-        """Take an agent's report.
+        """Process a report from an agent.
 
         Args:
             report: The report.
-            asked_at: Reading of the clock when the heartbeat that it answers was sent.
+            asked_at: Timestamp at which the heartbeat that it answers was sent.
         """
-        candidate = self._candidates.get(report.endpoint) or self._meet(report.endpoint)
+        candidate = self._candidates.get(report.endpoint) or self._add_candidate(report.endpoint)
         if candidate is None:
             return
-        room = blocks_room(len(self._candidates))
-        if candidate.observe(report, asked_at, self._clock.monotonic(), room):
+        max_blocks = max_blocks_per_endpoint(len(self._candidates))
+        if candidate.observe(report, asked_at, self._clock.monotonic(), max_blocks):
             self._invalidate()
 
-    def lost(self, endpoint: str) -> None:
-        """Note that the link to the endpoint's agent is gone."""
+    def mark_link_lost(self, endpoint: str) -> None:
+        """Record that the link to the endpoint's agent was lost."""
         candidate = self._candidates.get(endpoint)
         if candidate is not None:
-            candidate.lost(self._clock.monotonic())
+            candidate.mark_link_lost(self._clock.monotonic())
             self._invalidate()
 
     def permitted(self, endpoint: str) -> bool:
-        """Return whether work may be sent to the endpoint at this moment."""
+        """Return whether requests may be sent to the endpoint now."""
         candidate = self._candidates.get(endpoint)
         return candidate is not None and candidate.permitted(self._clock.monotonic())
 
     def is_leaving(self, endpoint: str) -> bool:
-        """Return whether the endpoint is known to leave as planned, or is no longer declared."""
+        """Return whether the endpoint is leaving as planned or has no state here.
+
+        An endpoint has no state if it is not declared or has not sent a report.
+        """
         candidate = self._candidates.get(endpoint)
         if candidate is None:
             return True
-        return candidate.leaves()
+        return candidate.leaving_as_planned()
 
     def choose(self, query: RouteQuery, exclude: frozenset[str] = frozenset()) -> Choice:
-        """Return the endpoint for the next attempt of a request.
+        """Select the endpoint for the next attempt of a request.
 
         Args:
             query: The request.
-            exclude: Endpoints that earlier attempts of it have used.
+            exclude: Endpoints used by earlier attempts of the request.
 
         Raises:
-            RequestError: ``NOT_SERVED`` or ``NOT_ALLOWED`` where nothing is declared for it,
-                ``DEADLINE_PASSED``, ``NO_ENDPOINT`` where none is usable, ``GROUP_BROKEN`` where
-                that is so because a lock-step group cannot step, ``OVERLOADED`` where all usable
-                ones are full for its priority.
+            RequestError: ``NOT_SERVED`` or ``NOT_ALLOWED`` if no endpoint is declared for it,
+                ``NOT_READY`` before the first configuration, ``DEADLINE_PASSED``,
+                ``NO_ENDPOINT`` if none is usable, ``GROUP_BROKEN`` if none is usable and a
+                lock-step group cannot step, ``OVERLOADED`` if every usable endpoint is full for
+                its priority.
         """
         now = self._clock.monotonic()
         if now >= query.deadline:
             raise RequestError(Code.DEADLINE_PASSED)
         pool = self._pool(query)
         pool.refresh(now, self._clock.wall())
-        limit = CEILING - CEILING_STEP * query.priority
+        limit = MAX_UTILISATION - UTILISATION_STEP * query.priority
         shares = self._shares.get(query.target.name)
         providers = shares.order(pool.tiers) if shares is not None else list(pool.tiers)
         for provider in providers or list(pool.tiers):
-            found = self._holder(pool.nearby[provider], query)
-            if found is None or not _open(found[0], exclude, limit, now):
-                found = self._search(pool.tiers[provider], exclude, limit, now)
+            found = self._pick_by_prefix(pool.nearby[provider], query)
+            if found is None or not _accepts(found[0], exclude, limit, now):
+                found = self._pick_from_tiers(pool.tiers[provider], exclude, limit, now)
             if found is None:
                 continue
             if shares is not None:
                 shares.charge(provider, pool.tiers)
             candidate, reason = found
-            return Choice(candidate.name, reason, candidate.blocks.leading(query.prefix_blocks))
-        raise self._refusal(pool, exclude)
+            return Choice(
+                candidate.name, reason, candidate.blocks.count_leading(query.prefix_blocks)
+            )
+        raise self._rejection(pool, exclude)
 
     def load_of(self, target: Target) -> float | None:
-        """Return the load of a target's usable endpoints over their capacity, None for unknown."""
+        """Return the utilisation of a target's usable endpoints, None if unknown."""
         members = {
             candidate.name: candidate
             for (wanted, _), pool in self._pools.items()
@@ -180,56 +186,60 @@
         return sum(candidate.load.known for candidate in members) / capacity
 
     def begin(self, endpoint: str, cost: float = 1.0) -> InFlight:
-        """Count an attempt that is about to be sent; ``cost`` is 1.0 for an ordinary request."""
+        """Record an attempt that is about to be sent; ``cost`` is 1.0 for an ordinary request."""
         now = self._clock.monotonic()
         candidate = self._candidates.get(endpoint)
         if candidate is not None:
-            candidate.begun(cost, now)
+            candidate.record_start(cost, now)
         return InFlight(endpoint, cost, now)
 
     def progress(self, token: InFlight) -> None:
-        """Note that bytes of the answer arrived; to be called for each read."""
+        """Record that response bytes arrived; call it after each read."""
         candidate = self._candidates.get(token.endpoint)
         if candidate is None:
             return
         now = self._clock.monotonic()
-        candidate.progressed(now)
+        candidate.record_progress(now)
         if token.first_byte_at is None:
             token.first_byte_at = now
-            candidate.first_byte(now - token.began)
+            candidate.record_first_byte(now - token.sent_at)
 
     def finish(self, token: InFlight, ok: bool = True) -> None:
-        """Count the end of an attempt; repeated calls do nothing.
+        """Record the end of an attempt; repeated calls have no effect.
 
         Args:
-            token: What ``begin`` gave.
-            ok: Whether the endpoint did its part. A caller that went away is no failure.
+            token: The value that ``begin`` returned.
+            ok: Whether the endpoint succeeded. A caller that disconnects is not a failure.
         """
         if token.finished:
             return
         token.finished = True
         candidate = self._candidates.get(token.endpoint)
         if candidate is not None:
-            candidate.ended(token.cost, ok, self._clock.monotonic())
+            candidate.record_end(token.cost, ok, self._clock.monotonic())
+
+    def states(self, reported_only: bool = False) -> list[EndpointRow]:
+        """Return status rows sorted by name.
 
-    def states(self, heard_only: bool = False) -> list[EndpointRow]:
-        """Return rows by name, of all declared endpoints or only of those that were heard.
+        In a large fleet an entry receives reports from a small part of the endpoints, and building
+        rows for all of them takes time.
 
-        In a large fleet an entry hears a small part of the endpoints, and rows for all take time.
+        Args:
+            reported_only: Include only endpoints that have sent a report, instead of all declared.
         """
         now, wall = self._clock.monotonic(), self._clock.wall()
         for pool in self._pools.values():
             pool.refresh(now, wall)
         declared = self._cfg.endpoints if self._cfg is not None else {}
-        names = self._candidates if heard_only else declared
+        names = self._candidates if reported_only else declared
         return [self._row(declared[name], now, wall) for name in sorted(names)]
 
     def _row(self, endpoint: Endpoint, now: float, wall: float) -> EndpointRow:
         candidate = self._candidates.get(endpoint.name)
         return (candidate or Candidate(endpoint)).row(now, wall)
 
-    def _meet(self, name: str) -> Candidate | None:
-        """Begin to keep account of an endpoint that is heard for the first time."""
+    def _add_candidate(self, name: str) -> Candidate | None:
+        """Create the state of an endpoint that sent its first report."""
         endpoint = self._cfg.endpoints.get(name) if self._cfg is not None else None
         if endpoint is None:
             return None
@@ -254,7 +264,10 @@
             pool.invalidate()
 
     def _pool(self, query: RouteQuery) -> Pool:
-        """Return the pool for a query; organisations that may use the same groups share one."""
+        """Return the pool for a query.
+
+        Organisations that are allowed the same groups share one pool.
+        """
         pool = self._pools_of.get((query.target, query.organisation))
         if pool is not None:
             return pool
@@ -270,10 +283,10 @@
         self._pools_of[query.target, query.organisation] = pool
         return pool
 
-    def _search(
+    def _pick_from_tiers(
         self, tiers: list[Tier], exclude: frozenset[str], limit: float, now: float
     ) -> tuple[Candidate, Reason] | None:
-        """Return an endpoint of one provider, from the nearest tier that has room."""
+        """Return an endpoint of one provider, trying the preferred tier first."""
         first = self._first_tier(tiers)
         for tier in tiers[first:] + tiers[:first]:
             found = self._pick(tier, exclude, limit, now)
@@ -288,8 +301,8 @@
         would send everything across at once, and back again with the next report.
         """
         for index, tier in enumerate(tiers[:-1]):
-            spill = (tier.fullness - SPILL_FROM) / (SPILL_FULL - SPILL_FROM)
-            if spill <= 0.0 or tiers[index + 1].fullness >= tier.fullness:
+            spill = (tier.utilisation - SPILL_START) / (SPILL_FULL - SPILL_START)
+            if spill <= 0.0 or tiers[index + 1].utilisation >= tier.utilisation:
                 return index
             if self._rng.random() >= spill:
                 return index
@@ -301,19 +314,20 @@
         drawn = [
             candidate
             for candidate in (tier.draw(self._rng), tier.draw(self._rng))
-            if _open(candidate, exclude, limit, now)
+            if _accepts(candidate, exclude, limit, now)
         ]
         if drawn:
-            return min(drawn, key=_fullness), Reason.LOWER_LOAD
-        rest = [c for c in tier.members if _open(c, exclude, limit, now)]
+            return min(drawn, key=_utilisation), Reason.LOWER_LOAD
+        rest = [c for c in tier.members if _accepts(c, exclude, limit, now)]
         if not rest:
             return None
-        return min(rest, key=_fullness), Reason.LAST_RESORT
+        return min(rest, key=_utilisation), Reason.LAST_RESORT
 
-    def _holder(self, tier: Tier, query: RouteQuery) -> tuple[Candidate, Reason] | None:
-        """Return the endpoint that holds the prompt's prefix, unless it is too loaded.
+    def _pick_by_prefix(self, tier: Tier, query: RouteQuery) -> tuple[Candidate, Reason] | None:
+        """Return the endpoint that holds the prompt's prefix, None if its load is too high.
 
-        The bound on its load grows with the part of the prompt that it holds.
+        If no endpoint holds the prefix, its home endpoint is used. The bound on the load grows
+        with the fraction of the prompt that is cached.
         """
         blocks = query.prefix_blocks
         if not blocks:
@@ -321,22 +335,22 @@
         held = tier.holders(blocks)
         if held:
             longest = max(count for count, _ in held)
-            chosen = min((c for count, c in held if count == longest), key=_fullness)
+            chosen = min((c for count, c in held if count == longest), key=_utilisation)
             reason = Reason.CACHED_PREFIX
         else:
             longest = 0
             chosen = tier.home(blocks)
             reason = Reason.PREFIX_HOME
-        part = max(longest, 1) / len(blocks)
-        bound = tier.mean * (1.0 + AFFINITY_SLACK * part) + AFFINITY_FLOOR
+        fraction = max(longest, 1) / len(blocks)
+        bound = tier.mean_load * (1.0 + AFFINITY_SLACK * fraction) + AFFINITY_FLOOR
         if chosen.load.value > bound * chosen.capacity * chosen.weight:
             return None
         return chosen, reason
 
-    def _refusal(self, pool: Pool, exclude: frozenset[str]) -> RequestError:
+    def _rejection(self, pool: Pool, exclude: frozenset[str]) -> RequestError:
         usable = [c for tiers in pool.tiers.values() for tier in tiers for c in tier.members]
-        left = [c for c in usable if c.name not in exclude]
-        if left:
+        remaining = [c for c in usable if c.name not in exclude]
+        if remaining:
             return RequestError(Code.OVERLOADED, retry_after=self._retry_after())
         code = Code.GROUP_BROKEN if not usable and pool.broken else Code.NO_ENDPOINT
         return RequestError(code, retry_after=self._retry_after())
@@ -345,18 +359,18 @@
         return RETRY_SECONDS * (1.0 + self._rng.uniform(-RETRY_JITTER, RETRY_JITTER))
 
 
-def _same_place(candidate: Candidate, endpoint: Endpoint | None) -> bool:
+def _same_address(candidate: Candidate, endpoint: Endpoint | None) -> bool:
     if endpoint is None:
         return False
     known = candidate.endpoint
     return known.vm == endpoint.vm and known.url == endpoint.url
 
 
-def _open(candidate: Candidate, exclude: frozenset[str], limit: float, now: float) -> bool:
+def _accepts(candidate: Candidate, exclude: frozenset[str], limit: float, now: float) -> bool:
     if candidate.name in exclude or not candidate.permitted(now):
         return False
     return candidate.load.known < limit * candidate.capacity
 
 
-def _fullness(candidate: Candidate) -> float:
+def _utilisation(candidate: Candidate) -> float:
     return (candidate.load.value + 1.0) / (candidate.capacity * candidate.weight)
--- a/tests/routing_fakes.py
+++ b/tests/routing_fakes.py
@@ -36,7 +36,7 @@
     return EndpointReport(**{**fields, **changes})  # type: ignore[arg-type]
 
 
-class RouterWorld:
+class RouterHarness:
     """One router whose clock and reports the test holds."""
 
     def __init__(
@@ -52,16 +52,16 @@
         self.router = Router(self.clock, random.Random(seed), failure_domain, REGION)
         self.router.configure(cfg)
 
-    def hear_all(self, **changes: object) -> None:
+    def receive_all(self, **changes: object) -> None:
         """Hear the same report of all endpoints."""
         for name in self.names:
-            self.hear(name, **changes)
+            self.receive(name, **changes)
 
-    def hear(self, endpoint: str, **changes: object) -> None:
+    def receive(self, endpoint: str, **changes: object) -> None:
         """Hear a report of one endpoint that answers a heartbeat sent just now."""
         self.router.observe(report(endpoint, **changes), self.clock.monotonic())
 
-    def spread(self, count: int, **changes: object) -> Counter[str]:
+    def send_and_finish(self, count: int, **changes: object) -> Counter[str]:
         """Return which endpoints requests that end at once go to."""
         sent: Counter[str] = Counter()
         for _ in range(count):
@@ -70,7 +70,7 @@
             self.router.finish(self.router.begin(choice.endpoint))
         return sent
 
-    def pile(self, count: int) -> Counter[str]:
+    def send_and_hold(self, count: int) -> Counter[str]:
         """Return which endpoints requests that go on running are sent to."""
         tokens = [self.router.begin(self.router.choose(query()).endpoint) for _ in range(count)]
         for token in tokens:
--- a/tests/test_groups_routing.py
+++ b/tests/test_groups_routing.py
@@ -8,7 +8,7 @@
 from carawayhub.errors import RequestError
 from carawayhub.peers.messages import ServingState
 from carawayhub.routing.query import Condition
-from tests.routing_fakes import RouterWorld, configuration, query
+from tests.routing_fakes import RouterHarness, configuration, query
 
 NOT_FORMED = "ranks 2, 3 of its group do not answer"
 
@@ -22,11 +22,13 @@
         group = ModelGroup(name="wide", model="", endpoints=tuple(self.names), ranks=6)
         model = next(iter(cfg.groups.values())).model
         groups = {"wide": dataclasses.replace(group, model=model)}
-        self.world = RouterWorld(dataclasses.replace(cfg, groups=groups))
-        self.world.hear_all()
+        self.harness = RouterHarness(dataclasses.replace(cfg, groups=groups))
+        self.harness.receive_all()
 
     def fail_leader(self) -> None:
-        self.world.hear(self.names[0], state=ServingState.FAILED, permit=0.0, reason=NOT_FORMED)
+        self.harness.receive(
+            self.names[0], state=ServingState.FAILED, permit=0.0, reason=NOT_FORMED
+        )
 
     def test_no_endpoint_of_the_group_is_sent_requests(self) -> None:
         """A rank is lost, the group cannot step, and callers wait at its other endpoints.
@@ -35,17 +37,17 @@
         0 reports that the group cannot step; requests must be refused as not run from then on,
         also those that were about to be sent.
         """
-        self.assertEqual(set(self.world.spread(60)), set(self.names))
+        self.assertEqual(set(self.harness.send_and_finish(60)), set(self.names))
         self.fail_leader()
         with self.assertRaises(RequestError) as caught:
-            self.world.router.choose(query())
+            self.harness.router.choose(query())
         self.assertEqual(caught.exception.code, Code.GROUP_BROKEN)
         self.assertGreater(caught.exception.retry_after or 0.0, 0.0)
-        self.assertFalse(self.world.router.permitted(self.names[1]))
-        conditions = {row.endpoint: row.condition for row in self.world.router.states()}
+        self.assertFalse(self.harness.router.permitted(self.names[1]))
+        conditions = {row.endpoint: row.condition for row in self.harness.router.states()}
         self.assertEqual(conditions, dict.fromkeys(self.names, Condition.FAILED))
-        self.world.hear_all()
-        self.assertEqual(set(self.world.spread(60)), set(self.names))
+        self.harness.receive_all()
+        self.assertEqual(set(self.harness.send_and_finish(60)), set(self.names))
 
     def test_a_leader_that_is_not_heard_says_nothing_of_its_group(self) -> None:
         """One link breaks, and callers are refused although the group steps.
@@ -54,20 +56,20 @@
         is lost: what it would say now is unknown, and the other endpoints say that they serve.
         """
         self.fail_leader()
-        self.world.router.lost(self.names[0])
-        self.assertEqual(set(self.world.spread(60)), set(self.names[1:]))
+        self.harness.router.mark_link_lost(self.names[0])
+        self.assertEqual(set(self.harness.send_and_finish(60)), set(self.names[1:]))
 
     def test_endpoints_of_other_groups_are_not_concerned(self) -> None:
         """One group of two cannot step; the requests of both go to the other."""
-        cfg = self.world.cfg
+        cfg = self.harness.cfg
         (wide,) = cfg.groups.values()
         parts = {
             "wide": dataclasses.replace(wide, endpoints=tuple(self.names[:2]), ranks=4),
             "single": dataclasses.replace(wide, endpoints=(self.names[2],), ranks=1),
         }
-        self.world.router.configure(dataclasses.replace(cfg, groups=parts))
+        self.harness.router.configure(dataclasses.replace(cfg, groups=parts))
         self.fail_leader()
-        self.assertEqual(set(self.world.spread(60)), {self.names[2]})
+        self.assertEqual(set(self.harness.send_and_finish(60)), {self.names[2]})
 
 
 if __name__ == "__main__":
--- a/tests/test_routing_choice.py
+++ b/tests/test_routing_choice.py
@@ -10,7 +10,7 @@
 from carawayhub.errors import RequestError
 from carawayhub.peers.messages import CacheEvents, ServingState
 from carawayhub.routing.query import Condition, Reason
-from tests.routing_fakes import RouterWorld, configuration, query, report
+from tests.routing_fakes import RouterHarness, configuration, query, report
 
 
 class LateReports(unittest.TestCase):
@@ -24,19 +24,19 @@
         """
         cfg = configuration(12)
         clock = ManualClock(1000.0)
-        worlds = [RouterWorld(cfg, seed, clock) for seed in range(7)]
-        idle = worlds[0].names[0]
+        harnesses = [RouterHarness(cfg, seed, clock) for seed in range(7)]
+        idle = harnesses[0].names[0]
         for _ in range(20):
-            self._past_traffic(worlds)
-        for world in worlds:
-            world.hear_all(running=8)
-            world.hear(idle, running=0)
+            self._past_traffic(harnesses)
+        for harness in harnesses:
+            harness.receive_all(running=8)
+            harness.receive(idle, running=0)
         clock.advance(0.1)
         sent: Counter[str] = Counter()
         for _ in range(10):
-            for world in worlds:
-                choice = world.router.choose(query())
-                world.router.begin(choice.endpoint)
+            for harness in harnesses:
+                choice = harness.router.choose(query())
+                harness.router.begin(choice.endpoint)
                 sent[choice.endpoint] += 1
         self.assertGreater(sent[idle], 70 / 12)
         self.assertLess(sent[idle], 24)
@@ -49,19 +49,19 @@
         """
         cfg = configuration(12)
         clock = ManualClock(1000.0)
-        worlds = [RouterWorld(cfg, seed, clock) for seed in range(7)]
-        holder, blocks = worlds[0].names[0], (11, 12, 13, 14)
+        harnesses = [RouterHarness(cfg, seed, clock) for seed in range(7)]
+        holder, blocks = harnesses[0].names[0], (11, 12, 13, 14)
         for _ in range(20):
-            self._past_traffic(worlds)
-        for world in worlds:
-            world.hear_all(running=8)
-            world.hear(holder, running=8, cache=CacheEvents(first=0, added=blocks))
+            self._past_traffic(harnesses)
+        for harness in harnesses:
+            harness.receive_all(running=8)
+            harness.receive(holder, running=8, cache=CacheEvents(first=0, added=blocks))
         clock.advance(0.1)
         sent: Counter[str] = Counter()
         for _ in range(10):
-            for world in worlds:
-                choice = world.router.choose(query(prefix_blocks=blocks))
-                world.router.begin(choice.endpoint)
+            for harness in harnesses:
+                choice = harness.router.choose(query(prefix_blocks=blocks))
+                harness.router.begin(choice.endpoint)
                 sent[choice.endpoint] += 1
         self.assertGreaterEqual(sent[holder], 7)
         self.assertLess(sent[holder], 25)
@@ -72,33 +72,35 @@
         The entry has sent nothing for a while and others have. It takes each request of its own
         for a sign of many, which may change a choice but must not fill an endpoint.
         """
-        world = RouterWorld(configuration(2))
+        harness = RouterHarness(configuration(2))
         for _ in range(10):
-            world.hear_all(running=8)
-        self.assertEqual(world.pile(60).total(), 60)
+            harness.receive_all(running=8)
+        self.assertEqual(harness.send_and_hold(60).total(), 60)
 
-    def _past_traffic(self, worlds: list[RouterWorld]) -> None:
+    def _past_traffic(self, harnesses: list[RouterHarness]) -> None:
         """Let each entry have a request at each endpoint when a report of seven is sampled."""
-        tokens = [(world, world.router.begin(name)) for world in worlds for name in world.names]
-        worlds[0].clock.advance(0.5)
-        for world in worlds:
-            world.hear_all(running=7)
-        for world, token in tokens:
-            world.router.finish(token)
+        tokens = [
+            (harness, harness.router.begin(name)) for harness in harnesses for name in harness.names
+        ]
+        harnesses[0].clock.advance(0.5)
+        for harness in harnesses:
+            harness.receive_all(running=7)
+        for harness, token in tokens:
+            harness.router.finish(token)
 
     def test_own_requests_count_on_top_of_an_old_report(self) -> None:
         """A report sampled before a dispatch must not hide it, nor a later one count it twice."""
-        world = RouterWorld(configuration(1))
-        name = world.names[0]
-        world.hear(name, running=0)
-        world.clock.advance(1.0)
-        world.router.begin(name)
-        world.clock.advance(1.0)
-        world.hear(name, running=0, load_age=1.5)
-        self.assertEqual(world.router.states()[0].load, 1.0)
-        world.clock.advance(1.0)
-        world.hear(name, running=1, load_age=0.1)
-        self.assertEqual(world.router.states()[0].load, 1.0)
+        harness = RouterHarness(configuration(1))
+        name = harness.names[0]
+        harness.receive(name, running=0)
+        harness.clock.advance(1.0)
+        harness.router.begin(name)
+        harness.clock.advance(1.0)
+        harness.receive(name, running=0, load_age=1.5)
+        self.assertEqual(harness.router.states()[0].load, 1.0)
+        harness.clock.advance(1.0)
+        harness.receive(name, running=1, load_age=0.1)
+        self.assertEqual(harness.router.states()[0].load, 1.0)
 
     def test_a_late_answer_to_an_old_heartbeat_does_not_bring_back_a_state(self) -> None:
         """New requests reach an endpoint that is leaving.
@@ -106,13 +108,13 @@
         The agent answers a heartbeat with "serving", that answer is delayed, the next says
         "leaving" and comes first. The late answer must not undo it.
         """
-        world = RouterWorld(configuration(1))
-        name = world.names[0]
-        old = world.clock.monotonic()
-        world.clock.advance(0.5)
-        world.hear(name, state=ServingState.LEAVING)
-        world.router.observe(report(name), old)
-        self.assertFalse(world.router.permitted(name))
+        harness = RouterHarness(configuration(1))
+        name = harness.names[0]
+        old = harness.clock.monotonic()
+        harness.clock.advance(0.5)
+        harness.receive(name, state=ServingState.LEAVING)
+        harness.router.observe(report(name), old)
+        self.assertFalse(harness.router.permitted(name))
 
 
 class Permits(unittest.TestCase):
@@ -124,15 +126,15 @@
         The answer to a heartbeat takes long. If the permit counted from its arrival, the entry
         would still dispatch when the agent takes the permit for expired.
         """
-        world = RouterWorld(configuration(1))
-        asked_at = world.clock.monotonic()
-        world.clock.advance(1.5)
-        world.router.observe(report(world.names[0], permit=2.0), asked_at)
-        self.assertTrue(world.router.permitted(world.names[0]))
-        world.clock.advance(0.6)
-        self.assertFalse(world.router.permitted(world.names[0]))
+        harness = RouterHarness(configuration(1))
+        asked_at = harness.clock.monotonic()
+        harness.clock.advance(1.5)
+        harness.router.observe(report(harness.names[0], permit=2.0), asked_at)
+        self.assertTrue(harness.router.permitted(harness.names[0]))
+        harness.clock.advance(0.6)
+        self.assertFalse(harness.router.permitted(harness.names[0]))
         with self.assertRaises(RequestError) as caught:
-            world.router.choose(query())
+            harness.router.choose(query())
         self.assertEqual(caught.exception.code, Code.NO_ENDPOINT)
         self.assertGreater(caught.exception.retry_after or 0.0, 0.0)
 
@@ -141,30 +143,30 @@
         by_config, by_list, by_agent = sorted(cfg.endpoints)
         leaving = dataclasses.replace(cfg.endpoints[by_config], state=EndpointState.LEAVING)
         cfg = dataclasses.replace(cfg, endpoints={**cfg.endpoints, by_config: leaving})
-        world = RouterWorld(cfg)
-        world.hear_all()
-        world.router.set_leaving([by_list])
-        world.hear(by_agent, state=ServingState.LEAVING)
-        for name in world.names:
-            self.assertFalse(world.router.permitted(name))
-        states = {row.condition for row in world.router.states()}
+        harness = RouterHarness(cfg)
+        harness.receive_all()
+        harness.router.set_leaving([by_list])
+        harness.receive(by_agent, state=ServingState.LEAVING)
+        for name in harness.names:
+            self.assertFalse(harness.router.permitted(name))
+        states = {row.condition for row in harness.router.states()}
         self.assertEqual(states, {Condition.LEAVING})
 
     def test_tried_endpoints_are_left_out(self) -> None:
-        world = RouterWorld(configuration(2))
-        world.hear_all()
-        first = world.router.choose(query()).endpoint
-        second = world.router.choose(query(), frozenset([first])).endpoint
+        harness = RouterHarness(configuration(2))
+        harness.receive_all()
+        first = harness.router.choose(query()).endpoint
+        second = harness.router.choose(query(), frozenset([first])).endpoint
         self.assertNotEqual(first, second)
         with self.assertRaises(RequestError):
-            world.router.choose(query(), frozenset([first, second]))
+            harness.router.choose(query(), frozenset([first, second]))
 
     def test_low_priority_finds_no_room_where_high_priority_does(self) -> None:
-        world = RouterWorld(configuration(1))
-        world.hear_all(running=32, queued=16)
-        self.assertEqual(world.router.choose(query(priority=0)).endpoint, world.names[0])
+        harness = RouterHarness(configuration(1))
+        harness.receive_all(running=32, queued=16)
+        self.assertEqual(harness.router.choose(query(priority=0)).endpoint, harness.names[0])
         with self.assertRaises(RequestError) as caught:
-            world.router.choose(query(priority=9))
+            harness.router.choose(query(priority=9))
         self.assertEqual(caught.exception.code, Code.OVERLOADED)
 
 
@@ -174,14 +176,14 @@
     BLOCKS = (11, 12, 13, 14)
 
     def setUp(self) -> None:
-        self.world = RouterWorld(configuration(6))
-        self.world.hear_all()
-        home = self.world.router.choose(query(prefix_blocks=self.BLOCKS)).endpoint
-        self.holder = next(name for name in self.world.names if name != home)
-        self.world.hear(self.holder, cache=CacheEvents(first=0, added=self.BLOCKS))
+        self.harness = RouterHarness(configuration(6))
+        self.harness.receive_all()
+        home = self.harness.router.choose(query(prefix_blocks=self.BLOCKS)).endpoint
+        self.holder = next(name for name in self.harness.names if name != home)
+        self.harness.receive(self.holder, cache=CacheEvents(first=0, added=self.BLOCKS))
 
     def test_the_holder_is_chosen(self) -> None:
-        choice = self.world.router.choose(query(prefix_blocks=self.BLOCKS))
+        choice = self.harness.router.choose(query(prefix_blocks=self.BLOCKS))
         self.assertEqual(choice.endpoint, self.holder)
         self.assertEqual(choice.reason, Reason.CACHED_PREFIX)
         self.assertEqual(choice.cached_blocks, 4)
@@ -192,28 +194,28 @@
         The event of an eviction is lost, later events arrive. The sequence numbers show a gap, and
         nothing from before it may count as cached.
         """
-        self.world.hear(self.holder, cache=CacheEvents(first=9, added=(99,)))
-        choice = self.world.router.choose(query(prefix_blocks=self.BLOCKS))
+        self.harness.receive(self.holder, cache=CacheEvents(first=9, added=(99,)))
+        choice = self.harness.router.choose(query(prefix_blocks=self.BLOCKS))
         self.assertEqual(choice.cached_blocks, 0)
         self.assertNotEqual(choice.reason, Reason.CACHED_PREFIX)
 
     def test_a_repeated_report_is_no_gap(self) -> None:
-        self.world.hear(self.holder, cache=CacheEvents(first=0, added=self.BLOCKS))
-        choice = self.world.router.choose(query(prefix_blocks=self.BLOCKS))
+        self.harness.receive(self.holder, cache=CacheEvents(first=0, added=self.BLOCKS))
+        choice = self.harness.router.choose(query(prefix_blocks=self.BLOCKS))
         self.assertEqual(choice.cached_blocks, 4)
 
     def test_a_loaded_holder_is_passed_over(self) -> None:
         for _ in range(20):
-            self.world.router.begin(self.holder)
-        choice = self.world.router.choose(query(prefix_blocks=self.BLOCKS))
+            self.harness.router.begin(self.holder)
+        choice = self.harness.router.choose(query(prefix_blocks=self.BLOCKS))
         self.assertNotEqual(choice.endpoint, self.holder)
 
     def test_entries_agree_on_a_home_without_a_message(self) -> None:
         homes = set()
         for seed in range(5):
-            world = RouterWorld(configuration(6), seed)
-            world.hear_all()
-            homes.add(world.router.choose(query(prefix_blocks=(7, 8))).endpoint)
+            harness = RouterHarness(configuration(6), seed)
+            harness.receive_all()
+            homes.add(harness.router.choose(query(prefix_blocks=(7, 8))).endpoint)
         self.assertEqual(len(homes), 1)
 
 
@@ -232,49 +234,49 @@
             name: ModelGroup(name=name, model="model", endpoints=members)
             for name, members in (("g1", (a, b)), ("g2", (c, d)), ("g3", (e, f)))
         }
-        world = RouterWorld(dataclasses.replace(cfg, groups=groups))
-        world.hear_all(step_seconds=0.006, running=8, tokens_rate=1000.0)
-        world.hear(b, step_seconds=0.018, running=8, tokens_rate=300.0)
-        sent = world.spread(1200)
+        harness = RouterHarness(dataclasses.replace(cfg, groups=groups))
+        harness.receive_all(step_seconds=0.006, running=8, tokens_rate=1000.0)
+        harness.receive(b, step_seconds=0.018, running=8, tokens_rate=300.0)
+        sent = harness.send_and_finish(1200)
         self.assertLess(sent[a] + sent[b], 0.2 * 1200)
-        rows = {row.endpoint: row.condition for row in world.router.states()}
+        rows = {row.endpoint: row.condition for row in harness.router.states()}
         self.assertEqual(rows[a], Condition.SLOW)
         self.assertEqual(rows[c], Condition.SERVING)
 
     def test_a_stalled_engine_gets_few_requests(self) -> None:
-        world = RouterWorld(configuration(4))
-        world.hear_all(step_seconds=0.006, running=4, tokens_rate=600.0)
-        stalled = world.names[1]
-        world.hear(stalled, step_seconds=0.006, running=4, tokens_rate=0.0)
-        self.assertLess(world.spread(1000)[stalled], 60)
-        rows = {row.endpoint: row.condition for row in world.router.states()}
+        harness = RouterHarness(configuration(4))
+        harness.receive_all(step_seconds=0.006, running=4, tokens_rate=600.0)
+        stalled = harness.names[1]
+        harness.receive(stalled, step_seconds=0.006, running=4, tokens_rate=0.0)
+        self.assertLess(harness.send_and_finish(1000)[stalled], 60)
+        rows = {row.endpoint: row.condition for row in harness.router.states()}
         self.assertEqual(rows[stalled], Condition.STALLED)
 
     def test_own_requests_without_progress_show_a_stall(self) -> None:
         """An agent reports nothing wrong while its endpoint answers no request of this entry."""
-        world = RouterWorld(configuration(4))
-        world.hear_all()
-        silent = world.names[2]
-        world.router.begin(silent)
-        world.clock.advance(5.0)
-        self.assertLess(world.spread(1000)[silent], 60)
+        harness = RouterHarness(configuration(4))
+        harness.receive_all()
+        silent = harness.names[2]
+        harness.router.begin(silent)
+        harness.clock.advance(5.0)
+        self.assertLess(harness.send_and_finish(1000)[silent], 60)
 
     def test_an_endpoint_that_fails_at_once_does_not_get_the_work(self) -> None:
         """Most requests fail although one endpoint of four is broken.
 
         It refuses at once, so it is always the least loaded.
         """
-        world = RouterWorld(configuration(4))
-        world.hear_all(running=8)
-        broken = world.names[0]
-        world.hear(broken, running=0)
+        harness = RouterHarness(configuration(4))
+        harness.receive_all(running=8)
+        broken = harness.names[0]
+        harness.receive(broken, running=0)
         failed = 0
         for _ in range(400):
-            world.clock.advance(0.01)
-            choice = world.router.choose(query())
+            harness.clock.advance(0.01)
+            choice = harness.router.choose(query())
             bad = choice.endpoint == broken
             failed += bad
-            world.router.finish(world.router.begin(choice.endpoint), ok=not bad)
+            harness.router.finish(harness.router.begin(choice.endpoint), ok=not bad)
         self.assertLess(failed, 40)
 
     def test_a_joining_endpoint_gets_the_part_of_its_ramp(self) -> None:
@@ -287,12 +289,12 @@
             ramp_until=1100.0,
         )
         cfg = dataclasses.replace(cfg, endpoints={**cfg.endpoints, joining: ramped})
-        world = RouterWorld(cfg)
+        harness = RouterHarness(cfg)
         parts = []
         for _ in range(3):
-            world.hear_all()
-            parts.append(world.pile(60)[joining] / 60)
-            world.clock.advance(50.0)
+            harness.receive_all()
+            parts.append(harness.send_and_hold(60)[joining] / 60)
+            harness.clock.advance(50.0)
         self.assertLess(parts[0], 0.06)
         self.assertAlmostEqual(parts[1], 0.2, delta=0.06)
         self.assertAlmostEqual(parts[2], 1 / 3, delta=0.06)
@@ -302,39 +304,39 @@
 
         Each return must not draw full work at once.
         """
-        world = RouterWorld(configuration(4))
-        world.hear_all(running=8)
-        once, often = world.names[2:]
+        harness = RouterHarness(configuration(4))
+        harness.receive_all(running=8)
+        once, often = harness.names[2:]
         for _ in range(5):
-            world.router.lost(often)
-            self.assertFalse(world.router.permitted(often))
-            world.clock.advance(0.5)
-            world.hear(often, running=0)
-        world.router.lost(once)
-        world.hear(once, running=0)
-        world.clock.advance(2.0)
-        world.hear_all()
-        sent = world.pile(80)
+            harness.router.mark_link_lost(often)
+            self.assertFalse(harness.router.permitted(often))
+            harness.clock.advance(0.5)
+            harness.receive(often, running=0)
+        harness.router.mark_link_lost(once)
+        harness.receive(once, running=0)
+        harness.clock.advance(2.0)
+        harness.receive_all()
+        sent = harness.send_and_hold(80)
         self.assertGreater(sent[once], 20)
         self.assertLess(sent[often], 10)
-        world.clock.advance(33.0)
-        world.hear_all()
-        self.assertGreater(world.pile(80)[often], 15)
+        harness.clock.advance(33.0)
+        harness.receive_all()
+        self.assertGreater(harness.send_and_hold(80)[often], 15)
 
 
 class Domains(unittest.TestCase):
     """Preference for the entry's own failure domain."""
 
     def test_own_domain_first_and_smooth_spill_over(self) -> None:
-        world = RouterWorld(configuration(9), failure_domain="domain-a")
-        own = {n for n, e in world.cfg.endpoints.items() if e.failure_domain == "domain-a"}
+        harness = RouterHarness(configuration(9), failure_domain="domain-a")
+        own = {n for n, e in harness.cfg.endpoints.items() if e.failure_domain == "domain-a"}
         parts = []
         for running in (4, 24, 32):
-            world.clock.advance(1.0)
-            world.hear_all(running=2)
+            harness.clock.advance(1.0)
+            harness.receive_all(running=2)
             for name in own:
-                world.hear(name, running=running)
-            sent = world.spread(600)
+                harness.receive(name, running=running)
+            sent = harness.send_and_finish(600)
             parts.append(sum(sent[name] for name in own) / 600)
         self.assertEqual(parts[0], 1.0)
         self.assertTrue(0.2 < parts[1] < 0.8, parts)
@@ -348,11 +350,11 @@
 
     def test_shares_hold_within_a_percent_over_all_entries(self) -> None:
         cfg = configuration(9, self.SHARES)
-        worlds = [RouterWorld(cfg, seed) for seed in range(7)]
+        harnesses = [RouterHarness(cfg, seed) for seed in range(7)]
         sent: Counter[str] = Counter()
-        for index, world in enumerate(worlds):
-            world.hear_all()
-            for name, count in world.spread(100 + 30 * index).items():
+        for index, harness in enumerate(harnesses):
+            harness.receive_all()
+            for name, count in harness.send_and_finish(100 + 30 * index).items():
                 sent[cfg.endpoints[name].provider] += count
         for provider, share in self.SHARES.items():
             self.assertAlmostEqual(100.0 * sent[provider] / sent.total(), share, delta=1.0)
@@ -363,22 +365,22 @@
         While it is away its share goes to the others in proportion; when it is back it gets its
         share and no more.
         """
-        world = RouterWorld(configuration(9, self.SHARES))
-        world.hear_all()
-        lost = [n for n, e in world.cfg.endpoints.items() if e.provider == "new"]
+        harness = RouterHarness(configuration(9, self.SHARES))
+        harness.receive_all()
+        lost = [n for n, e in harness.cfg.endpoints.items() if e.provider == "new"]
         for name in lost:
-            world.router.lost(name)
-        away = self._by_provider(world, 1000)
+            harness.router.mark_link_lost(name)
+        away = self._by_provider(harness, 1000)
         self.assertEqual(away["new"], 0)
         self.assertAlmostEqual(away["old"] / 1000, 62 / 69, delta=0.01)
-        world.hear_all()
-        back = self._by_provider(world, 1000)
+        harness.receive_all()
+        back = self._by_provider(harness, 1000)
         self.assertAlmostEqual(back["new"] / 1000, 0.31, delta=0.01)
 
-    def _by_provider(self, world: RouterWorld, count: int) -> Counter[str]:
+    def _by_provider(self, harness: RouterHarness, count: int) -> Counter[str]:
         sent: Counter[str] = Counter()
-        for name, times in world.spread(count).items():
-            sent[world.cfg.endpoints[name].provider] += times
+        for name, times in harness.send_and_finish(count).items():
+            sent[harness.cfg.endpoints[name].provider] += times
         return sent
 
 
--- a/tests/unguarded.py
+++ b/tests/unguarded.py
@@ -250,7 +250,7 @@
 def _permit() -> None:
     from carawayhub.routing.candidate import Candidate
 
-    replace(Candidate, "lost", lambda self, now: None)
+    replace(Candidate, "mark_link_lost", lambda self, now: None)
     replace(Candidate, "_permit", lambda self, report, asked_at, last: float("inf"))
 
 
@@ -310,7 +310,7 @@
 def _kept_answers() -> None:
     from carawayhub.routing.directory import EntryDirectory
 
-    replace(EntryDirectory, "kept_until", lambda self, now: now)
+    replace(EntryDirectory, "answers_expire_at", lambda self, now: now)
 
 
 @guard("drain")
