--- a/carawayhub/routing/__init__.py
+++ b/carawayhub/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of an endpoint for a request; library code without a network."""
+"""Endpoint selection for requests; performs no network I/O."""
--- a/carawayhub/routing/candidate.py
+++ b/carawayhub/routing/candidate.py
@@ -120,7 +120,7 @@
         if asked_at < self._asked_at:
             return False
         self._asked_at = asked_at
-        was_permitted = self.permitted(now) if self.has_report else None
+        before = self.permitted(now) if self.has_report else None
         last = self._report
         if last is not None and last.incarnation != report.incarnation:
             self.blocks.forget()
@@ -130,7 +130,7 @@
         self.permit_until = self._permit(report, asked_at, last)
         self.load.record_report(report.running + report.queued, asked_at - report.load_age)
         self.blocks.observe(report.cache, max_blocks)
-        return was_permitted != self.permitted(now)
+        return before != self.permitted(now)
 
     def mark_link_lost(self, now: float) -> None:
         """Record the loss of its link, which ends the permit and may have lost cache events."""
@@ -285,15 +285,15 @@
     def _settling(self, now: float) -> float:
         if now >= self._settled_at:
             return 1.0
-        fraction = (now - self._settling_from) / (self._settled_at - self._settling_from)
-        return max(RAMP_FLOOR, fraction)
+        part = (now - self._settling_from) / (self._settled_at - self._settling_from)
+        return max(RAMP_FLOOR, part)
 
     def _declared_ramp(self, wall: float) -> float:
         endpoint = self.endpoint
         if endpoint.state is not EndpointState.JOINING or endpoint.ramp_until <= endpoint.ramp_from:
             return 1.0
-        fraction = (wall - endpoint.ramp_from) / (endpoint.ramp_until - endpoint.ramp_from)
-        return min(1.0, max(RAMP_FLOOR, fraction))
+        part = (wall - endpoint.ramp_from) / (endpoint.ramp_until - endpoint.ramp_from)
+        return min(1.0, max(RAMP_FLOOR, part))
 
     def _condition(self, now: float, wall: float) -> tuple[Condition, str]:
         """Return its condition and reason; reported conditions override observed ones."""
--- a/carawayhub/routing/catalogue.py
+++ b/carawayhub/routing/catalogue.py
@@ -1,4 +1,4 @@
-"""Which endpoints a configuration lets a request use."""
+"""Looks up the endpoints that a configuration allows for a request."""
 
 from carawayhub.codes import Code
 from carawayhub.config.model import Configuration, ModelGroup
@@ -7,7 +7,7 @@
 
 
 class Catalogue:
-    """The models and plain services of one configuration version."""
+    """Models and plain services of one configuration version."""
 
     __slots__ = ("_cfg", "_groups_of")
 
@@ -20,11 +20,11 @@
     def eligible(self, query: RouteQuery) -> dict[str, tuple[str, ...]]:
         """Return the endpoints that may serve a query, by lock-step group.
 
-        An endpoint of a plain service is a group of its own.
+        Each endpoint of a plain service is its own group.
 
         Raises:
-            RequestError: ``NOT_SERVED`` where nothing of this name is declared, ``NOT_ALLOWED``
-                where nothing of it serves the organisation.
+            RequestError: ``NOT_SERVED`` if no model or service has this name, ``NOT_ALLOWED`` if
+                the organisation may use none of its endpoints.
         """
         if query.target.kind is TargetKind.SERVICE:
             return self._of_service(query)
--- a/carawayhub/routing/directory.py
+++ b/carawayhub/routing/directory.py
@@ -1,4 +1,4 @@
-"""Which entries a caller should use."""
+"""Selects the entries that each caller should use."""
 
 import random
 from collections import Counter
@@ -17,9 +17,9 @@
     """The entries for one caller.
 
     Attributes:
-        addresses: ``ip:port`` of each, to be tried in this order.
-        keep_until: Wall time until which the answer may be kept.
-        ttl: The same in seconds from now.
+        addresses: ``ip:port`` of each entry, in the order to try them.
+        keep_until: Wall clock time until which the answer may be cached.
+        ttl: Seconds for which the answer may be cached.
     """
 
     addresses: tuple[str, ...]
@@ -28,7 +28,7 @@
 
 
 class _Rotation:
-    """Hands out members in turn, each pass in a new random order, so that all get equally many."""
+    """Returns members round-robin, shuffled in each pass, so all are returned equally often."""
 
     __slots__ = ("_members", "_queue")
 
@@ -44,10 +44,10 @@
 
 
 class _View:
-    """The entries that serve, by failure domain, as long as nothing changes.
+    """Serving entries by failure domain, cached until the set of entries changes.
 
     Attributes:
-        members: All of them.
+        members: Names of the serving entries.
     """
 
     __slots__ = (
@@ -60,11 +60,11 @@
     )
 
     def __init__(self, domain_of: Mapping[str, str], declared_counts: Counter[str]) -> None:
-        """Make a view.
+        """Create a view.
 
         Args:
-            domain_of: Failure domain of each entry that serves.
-            before: Number of entries that are declared, by failure domain.
+            domain_of: Failure domain of each serving entry.
+            declared_counts: Number of declared entries by failure domain.
         """
         self.members = sorted(domain_of)
         self._domain_of = domain_of
@@ -75,14 +75,15 @@
 
     @property
     def domains(self) -> Collection[str]:
-        """The failure domains in which entries are declared."""
+        """Failure domains with declared entries."""
         return self._declared_counts.keys()
 
     def first(self, domain: str | None, rng: random.Random) -> str:
-        """Return the first address: of the caller's domain, each entry in its turn.
+        """Return the entry to try first, round-robin within the caller's failure domain.
 
-        Guards against a domain that has lost most of its entries: the one that is left would take
-        all its callers. Only the part of the callers stays that its live entries had before.
+        If a domain lost most of its entries, the remaining one would be overloaded by all its
+        callers. So only the fraction of callers that its live entries served before stays in the
+        domain, and the others go to other domains.
         """
         own = self._own(domain)
         stay_in_domain = bool(own) and rng.random() * self._declared_counts[domain or ""] < len(own)
@@ -94,14 +95,14 @@
         return rotation.next(rng)
 
     def next(self, chosen_names: list[str], domain: str | None, rng: random.Random) -> str:
-        """Return a further address: the second of the caller's domain, the rest of others."""
+        """Return a further entry: the second from the caller's domain, the rest from others."""
         wanted = self._own(domain) if len(chosen_names) == 1 else self._others(domain)
         for _ in range(MAX_DRAWS if wanted else 0):
             drawn = rng.choice(wanted)
             if drawn not in chosen_names:
                 return drawn
-        remaining = [name for name in wanted if name not in chosen_names]
-        return rng.choice(remaining or [name for name in self.members if name not in chosen_names])
+        left = [name for name in wanted if name not in chosen_names]
+        return rng.choice(left or [name for name in self.members if name not in chosen_names])
 
     def _own(self, domain: str | None) -> list[str]:
         if domain not in self._in_domain:
@@ -122,11 +123,12 @@
 
 
 class EntryDirectory:
-    """Answers callers that ask which entries to use.
+    """Tells callers which entries to use.
 
-    No balancer stands before the entries, so these answers alone spread the callers. First
-    addresses are handed out in turn within the caller's failure domain; the second is of the same
-    domain, the rest of others, so a caller survives the death of its entry and of its domain.
+    The entries have no load balancer in front of them, so these answers alone distribute the
+    callers. First addresses are assigned round-robin within the caller's failure domain. The second
+    is from the same domain and the rest are from others, so a caller can fail over if its entry or
+    its domain fails.
     """
 
     __slots__ = ("_unavailable", "_clock", "_entries", "_fleet", "_longest_ttl", "_rng", "_views")
@@ -141,7 +143,7 @@
         self._views: dict[frozenset[str], _View] = {}
 
     def configure(self, cfg: Configuration) -> None:
-        """Take a configuration into force."""
+        """Apply a configuration."""
         if cfg.entries != self._entries:
             self._entries = dict(cfg.entries)
             self._views.clear()
@@ -149,7 +151,7 @@
         self._longest_ttl = max(self._longest_ttl, cfg.fleet.answer_ttl)
 
     def set_unavailable(self, names: Collection[str]) -> None:
-        """Name the entries that are leaving or suspected; answers leave them out from now on."""
+        """Set the entries that are leaving or suspected, and exclude them from answers."""
         unavailable = frozenset(names)
         if unavailable != self._unavailable:
             self._unavailable = unavailable
@@ -161,9 +163,9 @@
         """Return the entries for one caller.
 
         Args:
-            caller_domain: The caller's failure domain, None where it is not known.
-            preferred: Entries to choose from where enough of them serve, such as those that divide
-                the limits of the caller's organisation; empty for all.
+            caller_domain: The caller's failure domain, None if unknown.
+            preferred: Entries to select from if enough of them are serving, such as those that
+                share the limits of the caller's organisation; empty for all.
         """
         domain = caller_domain if caller_domain in self._domains() else None
         view = self._view(preferred)
@@ -177,13 +179,13 @@
         return EntriesAnswer(addresses, self._clock.wall() + ttl, ttl)
 
     def answers_expire_at(self, left_at: float) -> float:
-        """Return when the last kept answer that names a leaving entry has passed.
+        """Return when the last cached answer that includes a leaving entry expires.
 
-        Other entries may go on naming it until they hear that it is leaving, or suspect it: one
-        heartbeat timeout. Callers keep such an answer for the longest time that was in force.
+        Other entries may include it until they learn that it is leaving or suspect it, at most one
+        heartbeat timeout. Callers may cache such an answer for the longest TTL configured so far.
 
         Args:
-            left_at: Reading of the clock when the entry told its peers that it is leaving.
+            left_at: Timestamp at which the entry announced to its peers that it is leaving.
         """
         return left_at + self._fleet.heartbeat_timeout + self._longest_ttl
 
@@ -196,7 +198,10 @@
         return view
 
     def _make_view(self, preferred: frozenset[str]) -> _View:
-        """Return the entries to choose from; without a preference all where none seems live."""
+        """Return the view of the live entries.
+
+        If no entry is live and none is preferred, it contains all entries that are not leaving.
+        """
         declared = {
             name: entry.failure_domain
             for name, entry in self._entries.items()
@@ -215,5 +220,9 @@
         return self._view(frozenset()).domains
 
     def _size(self, serving: int) -> int:
-        """Return how many to name: never all, but a spare wherever there are two."""
+        """Return the number of addresses in an answer.
+
+        One or two serving entries are all included, so that there is a spare if possible. Of more,
+        at least one is left out.
+        """
         return min(self._fleet.answer_size, max(serving - 1, 2), serving)
--- a/carawayhub/routing/load.py
+++ b/carawayhub/routing/load.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 MAX_EVENTS = 4096
-SMOOTHING = 0.2
+GAIN = 0.2
 MIN_MEAN_OWN = 0.1
 MAX_ENTRIES = 16.0
 
@@ -65,8 +65,8 @@
         if not events:
             self._unreported = 0.0
         own_at_sample = self.own - self._unreported
-        self._mean_own += SMOOTHING * (own_at_sample - self._mean_own)
-        self._mean_reported += SMOOTHING * (requests - self._mean_reported)
+        self._mean_own += GAIN * (own_at_sample - self._mean_own)
+        self._mean_reported += GAIN * (requests - self._mean_reported)
         self._update()
 
     def record_start(self, cost: float, now: float) -> None:
--- a/carawayhub/routing/providers.py
+++ b/carawayhub/routing/providers.py
@@ -1,4 +1,4 @@
-"""Shares of a model's requests between providers, kept by a running deficit."""
+"""Splits a model's requests between providers by weighted deficit scheduling."""
 
 import random
 from collections.abc import Collection, Mapping
@@ -7,13 +7,13 @@
 
 
 class ProviderShares:
-    """Decides which provider the next request of one model goes to.
+    """Selects the provider for the next request of one model.
 
-    Each provider earns its share with every request and pays 100 when it is chosen; the one with
-    the most credit is next. The count of each provider then never differs from its share by more
-    than one request for each provider, which plain random drawing would reach only after
-    thousands. The first credits are drawn at random, so that many entries with few requests each do
-    not all begin with the largest provider.
+    Each request adds every provider's share in percent to its credit and subtracts 100 from the
+    selected one. The provider with the most credit is next. Each provider's count stays within one
+    request per provider of its share, which random selection reaches only after thousands of
+    requests. Initial credits are random, so that many entries with few requests each do not all
+    start with the largest provider.
     """
 
     __slots__ = ("_credit", "_shares")
@@ -24,11 +24,11 @@
 
     @property
     def shares(self) -> Mapping[str, float]:
-        """Percent of requests by provider."""
+        """Percentage of requests by provider."""
         return self._shares
 
     def order(self, usable: Collection[str]) -> list[str]:
-        """Return the usable providers that have a share, the next one first."""
+        """Return the usable providers that have a share, by descending priority."""
         credit = self._credit
         shares = self._shares
         names = [name for name in credit if name in usable]
@@ -36,10 +36,10 @@
         return names
 
     def charge(self, chosen: str, usable: Collection[str]) -> None:
-        """Count a request for ``chosen``.
+        """Record a request sent to ``chosen``.
 
-        Shares are renormalised over ``usable``. The credit of a provider with no usable endpoint
-        stands still: if it grew, a provider that comes back would be sent everything at once.
+        Shares are renormalised over ``usable``. The credit of a provider without usable endpoints
+        does not change. If it grew, the provider would get all requests when it is available again.
         """
         names = [name for name in self._credit if name in usable]
         total = sum(self._shares[name] for name in names)
--- a/carawayhub/routing/query.py
+++ b/carawayhub/routing/query.py
@@ -1,4 +1,4 @@
-"""What the router is asked, what it answers and what it shows to operators."""
+"""Types for routing requests, routing decisions and the operators' status table."""
 
 import math
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 
 class TargetKind(Enum):
-    """What kind of back end a request is for."""
+    """Kind of back end that a request targets."""
 
     MODEL = "model"
     SERVICE = "service"
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A model or a plain service by its name."""
+    """A model or plain service, identified by name."""
 
     kind: TargetKind
     name: str
@@ -22,16 +22,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RouteQuery:
-    """A request as far as routing needs to know it.
+    """The properties of a request that affect routing.
 
     Attributes:
-        target: What the request is for.
-        organisation: Whose request it is.
-        priority: 0 is served first, 9 is shed first.
-        prefix_blocks: Hashes of the prompt's prefix blocks from its start, each over all text up
-            to the end of its block.
-        deadline: Reading of the clock after which the answer is of no use.
-        expected_tokens: Tokens the answer may have, 0 where unknown.
+        target: Model or plain service that the request targets.
+        organisation: Organisation that sends the request.
+        priority: From 0, served first, to 9, shed first.
+        prefix_blocks: Hashes of the prompt's prefix blocks, in order. Each hash covers all text
+            from the start of the prompt to the end of its block.
+        deadline: Timestamp after which the answer is no longer useful.
+        expected_tokens: Maximum tokens in the answer, 0 if unknown.
     """
 
     target: Target
@@ -43,7 +43,7 @@
 
 
 class Reason(Enum):
-    """Why an endpoint was chosen."""
+    """Reason why an endpoint was selected."""
 
     CACHED_PREFIX = "cached_prefix"
     PREFIX_HOME = "prefix_home"
@@ -53,12 +53,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """The endpoint for one attempt.
+    """The endpoint selected for one attempt.
 
     Attributes:
-        endpoint: Its name.
-        reason: Why it was chosen.
-        cached_blocks: Leading prefix blocks that it is known to hold.
+        endpoint: Name of the endpoint.
+        reason: Reason why it was selected.
+        cached_blocks: Number of leading prefix blocks that it is known to hold.
     """
 
     endpoint: str
@@ -67,7 +67,7 @@
 
 
 class Condition(Enum):
-    """What the router thinks of an endpoint."""
+    """Health of an endpoint as seen by the router."""
 
     SERVING = "serving"
     RAMPING = "ramping"
@@ -83,20 +83,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointRow:
-    """One endpoint in an operator's status table.
+    """Row of one endpoint in the operators' status table.
 
     Attributes:
-        endpoint: Its name.
-        provider: Whose machine it is.
-        failure_domain: Where it stands.
-        condition: Whether and how well it serves.
-        reason: What led to the condition.
-        load: Requests at the endpoint that were reported or are this entry's own.
-        own: Requests of this entry among them.
-        capacity: Requests it can run at once.
-        weight: Its part of new work against a healthy endpoint of the same size, 1.0 for full.
-        permit_until: Reading of this entry's clock until which it may be sent work.
-        cached_blocks: Prefix blocks it is known to hold.
+        endpoint: Name of the endpoint.
+        provider: Provider of its VM.
+        failure_domain: Failure domain of its VM.
+        condition: Its health.
+        reason: Cause of the condition.
+        load: Requests at the endpoint, from the last report and this entry's own requests since.
+        own: This entry's requests in flight.
+        capacity: Maximum concurrent requests.
+        weight: Its share of new requests relative to a healthy endpoint of the same capacity, 1.0
+            for a full share.
+        permit_until: Timestamp on this entry's clock until which requests may be sent to it.
+        cached_blocks: Number of prefix blocks that it is known to hold.
     """
 
     endpoint: str
@@ -113,13 +114,13 @@
 
 
 class InFlight:
-    """One attempt that runs at an endpoint; given by ``Router.begin``.
+    """An attempt in flight at an endpoint, returned by ``Router.begin``.
 
     Attributes:
         endpoint: Name of the endpoint.
-        cost: Its weight in load, 1.0 for an ordinary request.
-        began: Reading of the clock when it was sent.
-        first_byte_at: Reading of the clock at the first byte of the answer, None before.
+        cost: Load that it adds, 1.0 for an ordinary request.
+        sent_at: Timestamp at which it was sent.
+        first_byte_at: Timestamp of the first response byte, None before it.
         finished: Whether ``Router.finish`` was called.
     """
 
--- a/carawayhub/routing/router.py
+++ b/carawayhub/routing/router.py
@@ -295,10 +295,11 @@
         return None
 
     def _first_tier(self, tiers: list[Tier]) -> int:
-        """Return the tier to try first: the nearest, or the next in proportion to its load.
+        """Return the index of the tier to try first.
 
-        The part that spills grows smoothly from ``SPILL_FROM`` to ``SPILL_FULL``. A threshold
-        would send everything across at once, and back again with the next report.
+        The nearest tier is preferred. As its utilisation grows from ``SPILL_START`` to
+        ``SPILL_FULL``, a growing fraction of requests spills over to the next tier. A threshold
+        would move all traffic to the next tier at once, and back with the next report.
         """
         for index, tier in enumerate(tiers[:-1]):
             spill = (tier.utilisation - SPILL_START) / (SPILL_FULL - SPILL_START)
@@ -341,16 +342,16 @@
             longest = 0
             chosen = tier.home(blocks)
             reason = Reason.PREFIX_HOME
-        fraction = max(longest, 1) / len(blocks)
-        bound = tier.mean_load * (1.0 + AFFINITY_SLACK * fraction) + AFFINITY_FLOOR
+        part = max(longest, 1) / len(blocks)
+        bound = tier.mean_load * (1.0 + AFFINITY_SLACK * part) + AFFINITY_FLOOR
         if chosen.load.value > bound * chosen.capacity * chosen.weight:
             return None
         return chosen, reason
 
     def _rejection(self, pool: Pool, exclude: frozenset[str]) -> RequestError:
         usable = [c for tiers in pool.tiers.values() for tier in tiers for c in tier.members]
-        remaining = [c for c in usable if c.name not in exclude]
-        if remaining:
+        left = [c for c in usable if c.name not in exclude]
+        if left:
             return RequestError(Code.OVERLOADED, retry_after=self._retry_after())
         code = Code.GROUP_BROKEN if not usable and pool.broken else Code.NO_ENDPOINT
         return RequestError(code, retry_after=self._retry_after())
--- a/tests/routing_fakes.py
+++ b/tests/routing_fakes.py
@@ -1,4 +1,4 @@
-"""Routers with reports made by hand, for tests of routing."""
+"""Routers fed with constructed reports, for routing tests."""
 
 import random
 from collections import Counter
@@ -24,7 +24,7 @@
 
 
 def report(endpoint: str, **changes: object) -> EndpointReport:
-    """Return a report of an endpoint that serves."""
+    """Return a report of a serving endpoint."""
     fields: dict[str, object] = {
         "endpoint": endpoint,
         "incarnation": 1,
@@ -37,7 +37,7 @@
 
 
 class RouterHarness:
-    """One router whose clock and reports the test holds."""
+    """A router with a clock and reports controlled by the test."""
 
     def __init__(
         self,
@@ -53,16 +53,16 @@
         self.router.configure(cfg)
 
     def receive_all(self, **changes: object) -> None:
-        """Hear the same report of all endpoints."""
+        """Receive the same report from every endpoint."""
         for name in self.names:
             self.receive(name, **changes)
 
     def receive(self, endpoint: str, **changes: object) -> None:
-        """Hear a report of one endpoint that answers a heartbeat sent just now."""
+        """Receive a report from one endpoint, in answer to a heartbeat sent now."""
         self.router.observe(report(endpoint, **changes), self.clock.monotonic())
 
     def send_and_finish(self, count: int, **changes: object) -> Counter[str]:
-        """Return which endpoints requests that end at once go to."""
+        """Count requests by endpoint, finishing each before the next is sent."""
         sent: Counter[str] = Counter()
         for _ in range(count):
             choice = self.router.choose(query(**changes))
@@ -71,7 +71,7 @@
         return sent
 
     def send_and_hold(self, count: int) -> Counter[str]:
-        """Return which endpoints requests that go on running are sent to."""
+        """Count requests by endpoint while all of them are in flight."""
         tokens = [self.router.begin(self.router.choose(query()).endpoint) for _ in range(count)]
         for token in tokens:
             self.router.finish(token)
--- a/tests/test_groups_routing.py
+++ b/tests/test_groups_routing.py
@@ -1,4 +1,4 @@
-"""A lock-step group gets requests only while the agent beside its rank 0 lets it have them."""
+"""Tests that a group gets requests only while the agent of its rank 0 reports no failure."""
 
 import dataclasses
 import unittest
@@ -14,7 +14,7 @@
 
 
 class OutOfStepTest(unittest.TestCase):
-    """The ranks of a group are not in one formation; only its first endpoint's agent knows."""
+    """The ranks of a group are not in one formation, and only the agent of rank 0 knows."""
 
     def setUp(self) -> None:
         cfg = configuration(3)
@@ -31,11 +31,11 @@
         )
 
     def test_no_endpoint_of_the_group_is_sent_requests(self) -> None:
-        """A rank is lost, the group cannot step, and callers wait at its other endpoints.
+        """Guards against requests that wait at a group that cannot step after losing a rank.
 
-        Their engines answer their own agents, which report that they serve. The agent beside rank
-        0 reports that the group cannot step; requests must be refused as not run from then on,
-        also those that were about to be sent.
+        The agents of the other endpoints still report that they serve. Once the agent of rank 0
+        reports the failure, requests must be rejected as not run, including those about to be
+        sent.
         """
         self.assertEqual(set(self.harness.send_and_finish(60)), set(self.names))
         self.fail_leader()
@@ -50,17 +50,17 @@
         self.assertEqual(set(self.harness.send_and_finish(60)), set(self.names))
 
     def test_a_leader_that_is_not_heard_says_nothing_of_its_group(self) -> None:
-        """One link breaks, and callers are refused although the group steps.
+        """Guards against rejecting requests after the link to the leader is lost.
 
-        The last report of the agent beside rank 0 said that the group cannot step. Then its link
-        is lost: what it would say now is unknown, and the other endpoints say that they serve.
+        The last report of the leader's agent was a failure. Its current state is unknown, and the
+        other endpoints report that they serve.
         """
         self.fail_leader()
         self.harness.router.mark_link_lost(self.names[0])
         self.assertEqual(set(self.harness.send_and_finish(60)), set(self.names[1:]))
 
     def test_endpoints_of_other_groups_are_not_concerned(self) -> None:
-        """One group of two cannot step; the requests of both go to the other."""
+        """One of two groups cannot step, so all requests go to the other."""
         cfg = self.harness.cfg
         (wide,) = cfg.groups.values()
         parts = {
--- a/tests/test_routing_choice.py
+++ b/tests/test_routing_choice.py
@@ -1,4 +1,4 @@
-"""Which endpoint is chosen under late reports, lost cache events, slow and flapping endpoints."""
+"""Tests endpoint selection with late reports, lost cache events and unhealthy endpoints."""
 
 import dataclasses
 import unittest
@@ -14,13 +14,13 @@
 
 
 class LateReports(unittest.TestCase):
-    """Load reports that are older than the decisions made on them."""
+    """Load reports that are older than the decisions based on them."""
 
     def test_entries_do_not_herd_onto_the_endpoint_that_was_idle(self) -> None:
-        """Callers of all entries wait at one endpoint while its mates are idle.
+        """Guards against a thundering herd at one idle endpoint.
 
-        An endpoint reports no load and the others some. Before its next report seven entries
-        dispatch ten requests each. Each sees the same report and none sees the others' requests.
+        One endpoint reports no load and the others some. Before its next report, seven entries
+        dispatch ten requests each. All see the same reports, and none sees the others' requests.
         """
         cfg = configuration(12)
         clock = ManualClock(1000.0)
@@ -42,10 +42,10 @@
         self.assertLess(sent[idle], 24)
 
     def test_a_popular_prefix_does_not_overload_its_holder(self) -> None:
-        """All requests with one prompt wait at one endpoint while the others have room.
+        """Guards against overloading the endpoint that holds a popular prefix.
 
-        Seven entries know that it holds the prefix. None sees what the others send it before the
-        next report, so each thinks it below the bound.
+        Seven entries know that it holds the prefix. None sees the others' requests before the next
+        report, so each considers it below the load bound.
         """
         cfg = configuration(12)
         clock = ManualClock(1000.0)
@@ -67,10 +67,11 @@
         self.assertLess(sent[holder], 25)
 
     def test_a_quiet_entry_does_not_refuse_for_what_others_may_send(self) -> None:
-        """Callers of one entry are refused although the endpoints have room.
+        """Guards against rejecting requests although the endpoints have capacity.
 
-        The entry has sent nothing for a while and others have. It takes each request of its own
-        for a sign of many, which may change a choice but must not fill an endpoint.
+        The entry has sent nothing for a while, but others have. It assumes many requests by others
+        for each of its own. This estimate may change the selection but must not make an endpoint
+        count as full.
         """
         harness = RouterHarness(configuration(2))
         for _ in range(10):
@@ -78,7 +79,7 @@
         self.assertEqual(harness.send_and_hold(60).total(), 60)
 
     def _past_traffic(self, harnesses: list[RouterHarness]) -> None:
-        """Let each entry have a request at each endpoint when a report of seven is sampled."""
+        """Give each entry one request at each endpoint while a report of seven is sampled."""
         tokens = [
             (harness, harness.router.begin(name)) for harness in harnesses for name in harness.names
         ]
@@ -89,7 +90,7 @@
             harness.router.finish(token)
 
     def test_own_requests_count_on_top_of_an_old_report(self) -> None:
-        """A report sampled before a dispatch must not hide it, nor a later one count it twice."""
+        """An older report must not hide a request, and a later one must not count it twice."""
         harness = RouterHarness(configuration(1))
         name = harness.names[0]
         harness.receive(name, running=0)
@@ -103,10 +104,10 @@
         self.assertEqual(harness.router.states()[0].load, 1.0)
 
     def test_a_late_answer_to_an_old_heartbeat_does_not_bring_back_a_state(self) -> None:
-        """New requests reach an endpoint that is leaving.
+        """Guards against sending requests to an endpoint that is leaving.
 
-        The agent answers a heartbeat with "serving", that answer is delayed, the next says
-        "leaving" and comes first. The late answer must not undo it.
+        An answer of "serving" is delayed and arrives after the newer answer of "leaving". It must
+        not override the newer one.
         """
         harness = RouterHarness(configuration(1))
         name = harness.names[0]
@@ -118,13 +119,13 @@
 
 
 class Permits(unittest.TestCase):
-    """When work may be sent at all."""
+    """Conditions under which requests may be sent."""
 
     def test_a_permit_counts_from_the_moment_the_heartbeat_was_sent(self) -> None:
-        """An endpoint that left gets new work.
+        """Guards against sending requests to an endpoint that has left.
 
-        The answer to a heartbeat takes long. If the permit counted from its arrival, the entry
-        would still dispatch when the agent takes the permit for expired.
+        The answer to a heartbeat is slow. If the permit counted from its arrival, the entry would
+        still dispatch after the agent considers the permit expired.
         """
         harness = RouterHarness(configuration(1))
         asked_at = harness.clock.monotonic()
@@ -171,7 +172,7 @@
 
 
 class Prefixes(unittest.TestCase):
-    """Affinity to the endpoint that holds a prompt's prefix."""
+    """Affinity to the endpoint that caches a prompt's prefix."""
 
     BLOCKS = (11, 12, 13, 14)
 
@@ -189,10 +190,10 @@
         self.assertEqual(choice.cached_blocks, 4)
 
     def test_a_gap_in_cache_events_means_unknown(self) -> None:
-        """Requests go on to an endpoint that no longer holds their prefix.
+        """Guards against affinity to an endpoint that has evicted the prefix.
 
-        The event of an eviction is lost, later events arrive. The sequence numbers show a gap, and
-        nothing from before it may count as cached.
+        The eviction event is lost and later events arrive. The sequence numbers show a gap, and no
+        block from before it may count as cached.
         """
         self.harness.receive(self.holder, cache=CacheEvents(first=9, added=(99,)))
         choice = self.harness.router.choose(query(prefix_blocks=self.BLOCKS))
@@ -223,10 +224,10 @@
     """Endpoints that are slow, stalled, failing, joining or flapping."""
 
     def test_a_straggler_holds_back_its_whole_group(self) -> None:
-        """Requests are slow although they go to an endpoint that looks healthy.
+        """Guards against slow requests at an endpoint that looks healthy.
 
-        One rank of a lock-step group is slow; its mates wait in each step and report no fault of
-        their own. The whole group must get less work.
+        One rank of a lock-step group is slow. The others wait for it in each step and report no
+        fault, so the whole group must get fewer requests.
         """
         cfg = configuration(6)
         a, b, c, d, e, f = sorted(cfg.endpoints)
@@ -253,7 +254,7 @@
         self.assertEqual(rows[stalled], Condition.STALLED)
 
     def test_own_requests_without_progress_show_a_stall(self) -> None:
-        """An agent reports nothing wrong while its endpoint answers no request of this entry."""
+        """An agent reports no problem while its endpoint answers none of this entry's requests."""
         harness = RouterHarness(configuration(4))
         harness.receive_all()
         silent = harness.names[2]
@@ -262,9 +263,9 @@
         self.assertLess(harness.send_and_finish(1000)[silent], 60)
 
     def test_an_endpoint_that_fails_at_once_does_not_get_the_work(self) -> None:
-        """Most requests fail although one endpoint of four is broken.
+        """Guards against most requests failing when one endpoint of four is broken.
 
-        It refuses at once, so it is always the least loaded.
+        It rejects requests immediately, so it is always the least loaded.
         """
         harness = RouterHarness(configuration(4))
         harness.receive_all(running=8)
@@ -300,9 +301,9 @@
         self.assertAlmostEqual(parts[2], 1 / 3, delta=0.06)
 
     def test_a_flapping_endpoint_is_trusted_later_each_time(self) -> None:
-        """Requests are cut again and again at an endpoint whose link comes and goes.
+        """Guards against repeatedly failing requests at an endpoint with a flapping link.
 
-        Each return must not draw full work at once.
+        The endpoint must not get its full share immediately when its link is restored.
         """
         harness = RouterHarness(configuration(4))
         harness.receive_all(running=8)
@@ -344,7 +345,7 @@
 
 
 class ProviderParts(unittest.TestCase):
-    """Shares of traffic between providers."""
+    """Traffic shares of providers."""
 
     SHARES = {"old": 62.0, "new": 31.0, "spare": 7.0}
 
@@ -360,10 +361,10 @@
             self.assertAlmostEqual(100.0 * sent[provider] / sent.total(), share, delta=1.0)
 
     def test_shares_of_the_rest_hold_while_a_provider_is_away(self) -> None:
-        """A provider that comes back is flooded with all the requests it missed.
+        """Guards against flooding a provider that becomes available again.
 
-        While it is away its share goes to the others in proportion; when it is back it gets its
-        share and no more.
+        While it is unavailable, its share is split among the others in proportion. Afterwards it
+        gets its own share and no more.
         """
         harness = RouterHarness(configuration(9, self.SHARES))
         harness.receive_all()
--- a/tests/test_routing_directory.py
+++ b/tests/test_routing_directory.py
@@ -1,4 +1,4 @@
-"""Which entries callers are told to use."""
+"""Tests which entries are returned to callers."""
 
 import dataclasses
 import random
@@ -82,10 +82,10 @@
                 self.assertFalse(hidden & set(self.directory.answer(domain).addresses))
 
     def test_a_domain_that_lost_most_entries_does_not_overload_the_last(self) -> None:
-        """The one entry left of a failure domain is overloaded by all its callers.
+        """Guards against overloading the last entry of a failure domain.
 
-        Two of the domain's three entries are suspected. Only a third of its callers may still be
-        sent to the last; the others spread over the other domains.
+        Two of the domain's three entries are suspected. Only a third of its callers may be sent to
+        the remaining one; the others are distributed over the other domains.
         """
         self.directory.set_unavailable(["entry-000", "entry-003"])
         last = self.cfg.entries["entry-006"].address
@@ -97,10 +97,10 @@
         self.assertEqual(len(self.directory.answer(None).addresses), 3)
 
     def test_a_stopping_entry_serves_until_the_last_kept_answer_has_passed(self) -> None:
-        """A caller connects to an entry that has stopped.
+        """Guards against callers that connect to a stopped entry.
 
-        It keeps an answer given under a longer time that was in force before, by an entry that had
-        not yet heard of the stop.
+        A caller may have cached an answer under an earlier, longer TTL, from an entry that had not
+        yet learned that the other one was stopping.
         """
         longer = dataclasses.replace(self.cfg, fleet=FleetOptions(answer_ttl=60.0))
         self.directory.configure(longer)
