--- a/carawayhub/routing/candidate.py
+++ b/carawayhub/routing/candidate.py
@@ -39,7 +39,7 @@
         leaving: Whether the platform lists its VM as leaving or gone.
         permit_until: Timestamp until which requests may be sent to it.
         leader: The endpoint with rank 0 of its lock-step group. None if this endpoint is the
-            leader, has no group, or the leader has not sent a report.
+            leader or the only one of its group, or if the leader has not sent a report.
     """
 
     __slots__ = (
@@ -133,7 +133,7 @@
         return before != self.permitted(now)
 
     def mark_link_lost(self, now: float) -> None:
-        """Record the loss of its link, which ends the permit and may have lost cache events."""
+        """Record the loss of its link: the permit ends, and cache events were missed."""
         self.permit_until = -math.inf
         self.blocks.forget()
         if self._lost_at == -math.inf:
@@ -227,7 +227,7 @@
         return now < self._ejected_until
 
     def ramp(self, now: float, wall: float) -> float:
-        """Return the fraction of its full share to send, from the configured and settling ramps."""
+        """Return the fraction of a full share that it gets, from its configured and settling ramps."""
         return min(self._declared_ramp(wall), self._settling(now))
 
     def row(self, now: float, wall: float) -> EndpointRow:
--- a/carawayhub/routing/router.py
+++ b/carawayhub/routing/router.py
@@ -125,9 +125,9 @@
         return candidate is not None and candidate.permitted(self._clock.monotonic())
 
     def is_leaving(self, endpoint: str) -> bool:
-        """Return whether the endpoint is leaving as planned or has no state here.
+        """Return whether the endpoint is leaving as planned.
 
-        An endpoint has no state if it is not declared or has not sent a report.
+        It is also true for an endpoint without state here, such as one that is no longer declared.
         """
         candidate = self._candidates.get(endpoint)
         if candidate is None:
