--- a/carawayhub/entry/process.py
+++ b/carawayhub/entry/process.py
@@ -300,7 +300,7 @@
         }
         if self.runtime.member.leaving:
             away.add(identity.name)
-        self._directory.set_unavailable(away)
+        self._directory.set_excluded(away)
 
     # What operators see.
 
--- a/carawayhub/routing/candidate.py
+++ b/carawayhub/routing/candidate.py
@@ -227,7 +227,7 @@
         return now < self._ejected_until
 
     def ramp(self, now: float, wall: float) -> float:
-        """Return the fraction of a full share that it gets, from its configured and settling ramps."""
+        """Return the fraction of its full share that the configured and settling ramps allow."""
         return min(self._declared_ramp(wall), self._settling(now))
 
     def row(self, now: float, wall: float) -> EndpointRow:
--- a/carawayhub/routing/directory.py
+++ b/carawayhub/routing/directory.py
@@ -131,14 +131,14 @@
     its domain fails.
     """
 
-    __slots__ = ("_unavailable", "_clock", "_entries", "_fleet", "_longest_ttl", "_rng", "_views")
+    __slots__ = ("_excluded", "_clock", "_entries", "_fleet", "_longest_ttl", "_rng", "_views")
 
     def __init__(self, clock: Clock, rng: random.Random) -> None:
         self._clock = clock
         self._rng = rng
         self._entries: dict[str, EntryNode] = {}
         self._fleet = FleetOptions()
-        self._unavailable: frozenset[str] = frozenset()
+        self._excluded: frozenset[str] = frozenset()
         self._longest_ttl = 0.0
         self._views: dict[frozenset[str], _View] = {}
 
@@ -150,11 +150,11 @@
         self._fleet = cfg.fleet
         self._longest_ttl = max(self._longest_ttl, cfg.fleet.answer_ttl)
 
-    def set_unavailable(self, names: Collection[str]) -> None:
-        """Set the entries that are leaving or suspected, and exclude them from answers."""
-        unavailable = frozenset(names)
-        if unavailable != self._unavailable:
-            self._unavailable = unavailable
+    def set_excluded(self, names: Collection[str]) -> None:
+        """Set the entries to exclude from answers because they are leaving or suspected."""
+        excluded = frozenset(names)
+        if excluded != self._excluded:
+            self._excluded = excluded
             self._views.clear()
 
     def answer(
@@ -212,7 +212,7 @@
             for name, domain in declared.items()
             if self._entries[name].state is not EndpointState.LEAVING
         }
-        live = {name: domain for name, domain in staying.items() if name not in self._unavailable}
+        live = {name: domain for name, domain in staying.items() if name not in self._excluded}
         serving = live if live or preferred else staying
         return _View(serving, Counter(declared.values()))
 
--- a/tests/test_routing_directory.py
+++ b/tests/test_routing_directory.py
@@ -58,10 +58,10 @@
             self.assertLessEqual(
                 set(self.directory.answer("domain-a", preferred).addresses), wanted
             )
-        self.directory.set_unavailable(sorted(preferred)[:3])
+        self.directory.set_excluded(sorted(preferred)[:3])
         others = set(self.directory.answer("domain-a", preferred).addresses) - wanted
         self.assertTrue(others)
-        self.directory.set_unavailable(sorted(preferred))
+        self.directory.set_excluded(sorted(preferred))
         for _ in range(50):
             self.assertFalse(set(self.directory.answer("domain-a", preferred).addresses) & wanted)
 
@@ -75,7 +75,7 @@
         entry = dataclasses.replace(self.cfg.entries[leaving], state=EndpointState.LEAVING)
         entries = {**self.cfg.entries, leaving: entry}
         self.directory.configure(dataclasses.replace(self.cfg, entries=entries))
-        self.directory.set_unavailable([away])
+        self.directory.set_excluded([away])
         hidden = {self.cfg.entries[name].address for name in (away, leaving)}
         for domain in ("domain-a", None):
             for _ in range(50):
@@ -87,13 +87,13 @@
         Two of the domain's three entries are suspected. Only a third of its callers may be sent to
         the remaining one; the others are distributed over the other domains.
         """
-        self.directory.set_unavailable(["entry-000", "entry-003"])
+        self.directory.set_excluded(["entry-000", "entry-003"])
         last = self.cfg.entries["entry-006"].address
         firsts = Counter(self.directory.answer("domain-a").addresses[0] for _ in range(900))
         self.assertAlmostEqual(firsts[last] / 900, 1 / 3, delta=0.05)
 
     def test_a_directory_that_suspects_everybody_still_answers(self) -> None:
-        self.directory.set_unavailable(list(self.cfg.entries))
+        self.directory.set_excluded(list(self.cfg.entries))
         self.assertEqual(len(self.directory.answer(None).addresses), 3)
 
     def test_a_stopping_entry_serves_until_the_last_kept_answer_has_passed(self) -> None:
