--- a/carawayhub/routing/pool.py
+++ b/carawayhub/routing/pool.py
@@ -37,7 +37,7 @@
         self._homes: dict[int, Candidate] = {}
 
     def draw(self, rng: random.Random) -> Candidate:
-        """Return a random member, weighted by capacity and weight."""
+        """Return a random member, in proportion to its weighted capacity."""
         point = rng.random() * self._cumulative[-1]
         return self.members[min(bisect(self._cumulative, point), len(self.members) - 1)]
 
@@ -47,7 +47,7 @@
         return [(c.blocks.count_leading(blocks), c) for c in self.members if first in c.blocks]
 
     def home(self, blocks: Sequence[int]) -> Candidate:
-        """Return the home endpoint of a prefix, chosen by rendezvous hashing."""
+        """Return the home of a prefix; all entries choose the same by rendezvous hashing."""
         key = home_key(blocks)
         found = self._homes.get(key)
         if found is None:
