--- a/tests/test_routing_directory.py
+++ b/tests/test_routing_directory.py
@@ -1,4 +1,4 @@
-"""Which entries callers are told to use."""
+"""Tests which entries are returned to callers."""
 
 import dataclasses
 import random
@@ -58,10 +58,10 @@
             self.assertLessEqual(
                 set(self.directory.answer("domain-a", preferred).addresses), wanted
             )
-        self.directory.set_away(sorted(preferred)[:3])
+        self.directory.set_excluded(sorted(preferred)[:3])
         others = set(self.directory.answer("domain-a", preferred).addresses) - wanted
         self.assertTrue(others)
-        self.directory.set_away(sorted(preferred))
+        self.directory.set_excluded(sorted(preferred))
         for _ in range(50):
             self.assertFalse(set(self.directory.answer("domain-a", preferred).addresses) & wanted)
 
@@ -75,38 +75,38 @@
         entry = dataclasses.replace(self.cfg.entries[leaving], state=EndpointState.LEAVING)
         entries = {**self.cfg.entries, leaving: entry}
         self.directory.configure(dataclasses.replace(self.cfg, entries=entries))
-        self.directory.set_away([away])
+        self.directory.set_excluded([away])
         hidden = {self.cfg.entries[name].address for name in (away, leaving)}
         for domain in ("domain-a", None):
             for _ in range(50):
                 self.assertFalse(hidden & set(self.directory.answer(domain).addresses))
 
     def test_a_domain_that_lost_most_entries_does_not_overload_the_last(self) -> None:
-        """The one entry left of a failure domain is overloaded by all its callers.
+        """Guards against overloading the last entry of a failure domain.
 
-        Two of the domain's three entries are suspected. Only a third of its callers may still be
-        sent to the last; the others spread over the other domains.
+        Two of the domain's three entries are suspected. Only a third of its callers may be sent to
+        the remaining one; the others are distributed over the other domains.
         """
-        self.directory.set_away(["entry-000", "entry-003"])
+        self.directory.set_excluded(["entry-000", "entry-003"])
         last = self.cfg.entries["entry-006"].address
         firsts = Counter(self.directory.answer("domain-a").addresses[0] for _ in range(900))
         self.assertAlmostEqual(firsts[last] / 900, 1 / 3, delta=0.05)
 
     def test_a_directory_that_suspects_everybody_still_answers(self) -> None:
-        self.directory.set_away(list(self.cfg.entries))
+        self.directory.set_excluded(list(self.cfg.entries))
         self.assertEqual(len(self.directory.answer(None).addresses), 3)
 
     def test_a_stopping_entry_serves_until_the_last_kept_answer_has_passed(self) -> None:
-        """A caller connects to an entry that has stopped.
+        """Guards against callers that connect to a stopped entry.
 
-        It keeps an answer given under a longer time that was in force before, by an entry that had
-        not yet heard of the stop.
+        A caller may have cached an answer under an earlier, longer TTL, from an entry that had not
+        yet learned that the other one was stopping.
         """
         longer = dataclasses.replace(self.cfg, fleet=FleetOptions(answer_ttl=60.0))
         self.directory.configure(longer)
         self.directory.configure(self.cfg)
         heartbeat = self.cfg.fleet.heartbeat_timeout
-        self.assertEqual(self.directory.kept_until(100.0), 100.0 + 60.0 + heartbeat)
+        self.assertEqual(self.directory.answers_expire_at(100.0), 100.0 + 60.0 + heartbeat)
 
 
 if __name__ == "__main__":
