--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -23,7 +23,7 @@
 from carawayhub.agent.ledger import ENTRY_BYTES, Ledger, LedgerLimits
 from carawayhub.agent.messages import Answer, FenceReply, FenceRequest, Member, RunKey
 from carawayhub.agent.record import answer_bytes
-from carawayhub.agent.tickets import Epochs, TicketOffice
+from carawayhub.agent.tickets import Epochs, TicketCodec
 from carawayhub.clock import ManualClock
 
 SCOPE = "service/booking"
@@ -127,7 +127,7 @@
 
     run_time = _per_call(begin_and_finish, ENTRIES)
     replay_time = _per_call(lambda number: ledger.begin(keys[number], b"d" * 32, 1.0), ENTRIES)
-    office = TicketOffice("secret")
+    office = TicketCodec("secret")
     epochs = Epochs(ManualClock(), "bench-0", 1)
     issue = _per_call(lambda _: office.issue(SCOPE, "patra", "bench-0", 1, 1), 1000)
     text = office.issue(SCOPE, "patra", "bench-0", 1, 1)
--- a/carawayhub/agent/fence.py
+++ b/carawayhub/agent/fence.py
@@ -211,7 +211,7 @@
         if not isinstance(reply, FenceAck) or reply.digest != self.key_set.digest:
             self._settle()
             return False
-        ledger.absorb(reply.entries)
+        ledger.merge(reply.entries)
         self._hear(reply, sent)
         for former in reply.formers:
             self._learn_former(former)
--- a/carawayhub/agent/gate.py
+++ b/carawayhub/agent/gate.py
@@ -1,4 +1,4 @@
-"""The gate of run-once requests: the only way by which they reach the endpoint."""
+"""Admission and execution of run-once requests; none reaches the endpoint on another path."""
 
 import hashlib
 from dataclasses import dataclass
@@ -23,7 +23,7 @@
     RunResult,
 )
 from carawayhub.agent.reporter import Reporter
-from carawayhub.agent.tickets import Epochs, TicketOffice
+from carawayhub.agent.tickets import Epochs, TicketCodec
 from carawayhub.clock import Clock
 from carawayhub.codes import Code, Outcome
 from carawayhub.config.model import Configuration
@@ -39,11 +39,11 @@
 from carawayhub.headers import as_bytes, as_text, without
 from carawayhub.peers.messages import RunReply, RunRequest, ServingState
 
-GRACE = 30.0
-"""Seconds past its deadline for which a run may go on, so that a repeated key finds its answer."""
+RUN_GRACE_SECONDS = 30.0
+"""Time a run may exceed its deadline, so that a retry with the same key finds its answer."""
 
 OK_STATUS = 200
-LOOK_UPS = 4
+MAX_LOOK_UPS = 4
 RETRY_AFTER = 1.0
 _DROPPED_FROM_ANSWER = HOP_BY_HOP_HEADERS | {b"content-length"}
 _DROPPED_HEADERS = {name.decode() for name in _DROPPED_FROM_ANSWER} | {
@@ -53,38 +53,38 @@
 
 
 class _AnswerId(msgspec.Struct):
-    """The part of a model's whole answer that names its request."""
+    """The field of a model's complete answer that identifies its request."""
 
     id: str = ""
 
 
 class KeyRules(Protocol):
-    """What decides whether a key without a record may be begun at this agent."""
+    """Decides whether this agent may start a key that has no record."""
 
     def admit(self, key: RunKey) -> Refuse | None:
-        """Return why the key may not be begun here, None where it may."""
+        """Return why the key may not be started here, or None if it may."""
 
     def keep_until(self, key: RunKey) -> float:
-        """Return the clock reading until which a key that is begun now is remembered."""
+        """Return the timestamp until which the record of a key that starts now is kept."""
 
     async def ask(self, question: LookUp) -> LookUpReply:
-        """Ask the agent that made a try how it ended.
+        """Ask the agent that made an attempt for its outcome.
 
         Raises:
-            PeerError: It does not answer.
+            PeerError: The agent does not answer.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class _Claim:
-    """A request as the ledger knows it.
+    """A request as the ledger identifies it.
 
     Attributes:
-        key: Its name in the ledger.
+        key: Key of its record in the ledger.
         digest: SHA-256 of method, path and body.
-        keep_until: Clock reading until which it is remembered.
-        ticket: Whether it came with a ticket.
-        stamp: This agent's epoch as the entry last heard it.
+        keep_until: Timestamp until which its record is kept.
+        ticket: Whether it carries a ticket.
+        stamp: This agent's epoch as last received by the entry.
     """
 
     key: RunKey
@@ -100,14 +100,14 @@
     Args:
         clock: Source of time.
         endpoint: Name of the endpoint.
-        ledger: Remembers what ran.
-        epochs: This incarnation's ticket epochs.
-        office: Reads tickets.
-        rules: Decides about idempotency keys.
-        reporter: Says whether the endpoint takes new work.
-        pauses: Says whether this process was paused and has not checked what it knows since.
+        ledger: Records of the requests that ran.
+        epochs: Ticket epochs of this incarnation.
+        ticket_codec: Decodes tickets.
+        rules: Decides which idempotency keys may start here.
+        reporter: Reports whether the endpoint accepts new work.
+        pauses: Detects that this process was paused and has not verified its state since.
         upstream: Connections to the endpoint.
-        tasks: Where runs go on after their caller has left.
+        tasks: Task group of the runs, which continue after the caller disconnects.
     """
 
     def __init__(
@@ -116,7 +116,7 @@
         endpoint: str,
         ledger: Ledger,
         epochs: Epochs,
-        office: TicketOffice,
+        ticket_codec: TicketCodec,
         rules: KeyRules,
         reporter: Reporter,
         pauses: PauseDetector,
@@ -127,7 +127,7 @@
         self._endpoint = endpoint
         self._ledger = ledger
         self._epochs = epochs
-        self._office = office
+        self._ticket_codec = ticket_codec
         self._rules = rules
         self._reporter = reporter
         self._pauses = pauses
@@ -136,17 +136,17 @@
         self._cfg: Configuration | None = None
 
     def configured(self, cfg: Configuration) -> None:
-        """Take a version into force."""
+        """Apply a configuration version."""
         self._cfg = cfg
 
     async def run(self, sender: str, req: RunRequest) -> RunReply:
-        """Answer an entry that sends a run-once request."""
+        """Handle a run-once request from an entry."""
         deadline = min(self._clock.monotonic() + req.remaining, req.deadline)
         try:
             claim = self._claim(req)
             if isinstance(claim, Refuse):
-                return _refused(req, claim)
-            return await self._settle(req, claim, deadline)
+                return _rejection_reply(req, claim)
+            return await self._run_or_replay(req, claim, deadline)
         except RequestError as exc:
             return RunReply(request_id=req.request_id, code=int(exc.code), detail=exc.detail)
 
@@ -155,14 +155,14 @@
         if not req.ticket:
             key = RunKey(req.target, req.organisation, req.key)
             return _Claim(key, digest, self._rules.keep_until(key), False, req.stamp)
-        ticket = self._office.read_for(req.ticket, req.target, req.organisation)
+        ticket = self._ticket_codec.read_for(req.ticket, req.target, req.organisation)
         admitted = self._epochs.admit(ticket)
         if isinstance(admitted, Refuse):
             return admitted
         return _Claim(ticket.run_key, digest, admitted.keep_until, True, req.stamp)
 
-    async def _settle(self, req: RunRequest, claim: _Claim, deadline: float) -> RunReply:
-        """Bring a request to an answer: run it, wait for its run, or give what is remembered."""
+    async def _run_or_replay(self, req: RunRequest, claim: _Claim, deadline: float) -> RunReply:
+        """Run a request, wait for its current run, or replay the recorded answer."""
         begun = False
         look_ups = 0
         while True:
@@ -172,28 +172,28 @@
                 case Run(run=run):
                     if begun:
                         self._ledger.finish(claim.key, run, NotRun(int(Code.CONNECT_FAILED)))
-                        return _refused(req, Refuse(Code.CONNECT_FAILED, RETRY_AFTER))
+                        return _rejection_reply(req, Refuse(Code.CONNECT_FAILED, RETRY_AFTER))
                     begun = True
                     self._tasks.start_soon(self._execute, req, claim, run, deadline)
                 case Replay(answer=answer):
-                    return _answered(req, answer, replayed=not begun)
+                    return _answer_reply(req, answer, replayed=not begun)
                 case Wait(done=done):
                     if not await self._wait(done, deadline):
-                        return _refused(req, Refuse(Code.RUN_STILL_RUNNING, RETRY_AFTER))
+                        return _rejection_reply(req, Refuse(Code.RUN_STILL_RUNNING, RETRY_AFTER))
                 case Ask(look_up=question):
                     look_ups += 1
-                    if look_ups > LOOK_UPS:
-                        return _refused(req, Refuse(Code.RUN_STILL_RUNNING, RETRY_AFTER))
+                    if look_ups > MAX_LOOK_UPS:
+                        return _rejection_reply(req, Refuse(Code.RUN_STILL_RUNNING, RETRY_AFTER))
                     if not await self._look_up(question):
-                        return _refused(req, Refuse(Code.RUN_HOME_UNREACHABLE, RETRY_AFTER))
+                        return _rejection_reply(req, Refuse(Code.RUN_HOME_UNREACHABLE, RETRY_AFTER))
                 case Refuse() as refusal:
-                    return _refused(req, refusal)
+                    return _rejection_reply(req, refusal)
 
     def _refusal(self, claim: _Claim, deadline: float) -> Refuse | None:
-        """Return why a request without a record may not be begun now.
+        """Return why a request without a record may not start now.
 
-        What the rules for keys say comes first. The other reasons are told as "not run", which is
-        true only where no other agent can have run the key.
+        The rules for keys are checked first. The other reasons are reported as "not run", which is
+        true only if no other agent can have run the key.
         """
         paused = self._pauses.check()
         if not claim.ticket:
@@ -229,8 +229,8 @@
     async def _execute(self, req: RunRequest, claim: _Claim, run: RunId, deadline: float) -> None:
         """Run a request to its end, whether or not its caller still waits.
 
-        The request is not cancelled with its caller: the result must be known to the ledger, or
-        the key would stay unknown although the endpoint finished.
+        The request is not cancelled when its caller disconnects: the ledger must record the result,
+        or the outcome of the key would stay unknown although the endpoint finished.
         """
         self._reporter.gate_running += 1
         result: RunResult = OutcomeUnknown(int(Code.ANSWER_CUT))
@@ -241,21 +241,25 @@
             self._ledger.finish(claim.key, run, result)
 
     async def _exchange(self, req: RunRequest, deadline: float) -> RunResult:
-        limit = max(0.0, deadline - self._clock.monotonic()) + GRACE
+        limit = max(0.0, deadline - self._clock.monotonic()) + RUN_GRACE_SECONDS
         try:
             with anyio.fail_after(limit):
                 return await self._send(req, limit, deadline)
         except TimeoutError:
             return OutcomeUnknown(int(Code.ANSWER_TIMEOUT))
         except RequestError as exc:
-            logger.bind(request=req.request_id, code=int(exc.code)).info("run failed: {}", exc)
+            logger.bind(request=req.request_id, code=int(exc.code)).info(
+                "run-once request failed: {}", exc
+            )
             if exc.outcome is Outcome.NOT_RUN:
                 return NotRun(int(exc.code))
             return OutcomeUnknown(int(exc.code))
         except Exception as exc:
-            # A fault of our own in one run must not end the agent: its whole ledger would be lost,
-            # and the outcome of everything it ran unknown.
-            logger.bind(request=req.request_id).opt(exception=exc).error("run failed unexpectedly")
+            # An internal error in one run must not end the agent: the in-memory ledger would be
+            # lost, and with it the outcome of every request that the agent ran.
+            logger.bind(request=req.request_id).opt(exception=exc).error(
+                "unexpected error while running a run-once request"
+            )
             return OutcomeUnknown(int(Code.ENDPOINT_ERROR))
 
     async def _send(self, req: RunRequest, limit: float, deadline: float) -> RunResult:
@@ -292,7 +296,7 @@
         )
 
     def _may_run(self, deadline: float) -> bool:
-        """Return whether the endpoint may get a request."""
+        """Return whether a request may still be sent to the endpoint."""
         return (
             self._reporter.state is ServingState.SERVING
             and not self._pauses.check()
@@ -301,30 +305,33 @@
 
 
 def _check_id(req: RunRequest, headers: tuple[tuple[str, str], ...]) -> None:
-    """Refuse the answer of another request, as the relay does for requests that may be repeated."""
+    """Reject the answer to another request, as the relay does for idempotent requests."""
     for name, value in headers:
         if name.lower() == REQUEST_ID_HEADER.decode() and value != req.request_id:
-            raise RequestError(Code.ANSWER_MIXED, "the answer's header names another request")
+            raise RequestError(
+                Code.ANSWER_MIXED,
+                "the request id in the answer's header belongs to another request",
+            )
 
 
 def _check_body(req: RunRequest, status: int, body: bytes) -> None:
-    """Refuse a model's answer that does not repeat the id of its request.
+    """Reject a model's answer that does not contain the id of its request.
 
-    Guards against an answer that was crossed with another one on its way, which need not carry the
-    header: with what an engine answers to a poll of its load a caller would hold no answer at all
-    and take it for the whole one.
+    Guards against an answer that was swapped with another one in transit, which need not carry the
+    header: a caller that received the engine's reply to a load poll would take it for the complete
+    answer to its request.
     """
     if status != OK_STATUS or not req.target.startswith(model_scope("")):
         return
     try:
         found = msgspec.json.decode(body, type=_AnswerId).id
     except msgspec.DecodeError as exc:
-        raise RequestError(Code.ENDPOINT_ERROR, "the model's answer is no JSON") from exc
+        raise RequestError(Code.ENDPOINT_ERROR, "the model's answer is not valid JSON") from exc
     if req.request_id not in found:
-        raise RequestError(Code.ANSWER_MIXED, "the answer's id names another request")
+        raise RequestError(Code.ANSWER_MIXED, "the id in the answer belongs to another request")
 
 
-def _answered(req: RunRequest, answer: Answer, replayed: bool) -> RunReply:
+def _answer_reply(req: RunRequest, answer: Answer, replayed: bool) -> RunReply:
     return RunReply(
         request_id=req.request_id,
         code=int(Code.OK),
@@ -335,7 +342,7 @@
     )
 
 
-def _refused(req: RunRequest, refusal: Refuse) -> RunReply:
+def _rejection_reply(req: RunRequest, refusal: Refuse) -> RunReply:
     return RunReply(
         request_id=req.request_id,
         code=int(refusal.code),
--- a/carawayhub/agent/homes.py
+++ b/carawayhub/agent/homes.py
@@ -155,7 +155,7 @@
         """
         if self._closing:
             raise PeerError(Code.PEER_SILENT, f"{self.member.endpoint} is stopping as well")
-        ledger.absorb(handover.entries)
+        ledger.merge(handover.entries)
         self._fence(handover.scope).take_handover(handover)
         return HandoverTaken(
             scope=handover.scope,
--- a/carawayhub/agent/keys.py
+++ b/carawayhub/agent/keys.py
@@ -1,4 +1,4 @@
-"""Carries the messages of idempotency keys between agents; the rules are in ``homes``."""
+"""Exchange of idempotency-key messages between agents; the rules are in ``homes``."""
 
 import random
 from typing import Any
@@ -35,19 +35,19 @@
 
 CALL_TIMEOUT = 2.0
 RETRY_INTERVAL = 1.0
-HANDOVER_PAUSE = 0.2
+HANDOVER_RETRY_INTERVAL = 0.2
 
 
-class KeyKeeper:
-    """One agent's part in the agreement on idempotency keys.
+class KeyCoordinator:
+    """Takes part for one agent in the agreement on idempotency keys.
 
     Args:
-        homes: The rules.
-        ledger: What this agent knows of keys.
+        homes: Rules that decide where a key may run.
+        ledger: Records of the keys at this agent.
         client: Calls other agents.
         clock: Source of time.
         rng: Source of jitter.
-        audit: Takes changes.
+        audit: Receives the changes.
     """
 
     __slots__ = (
@@ -56,10 +56,10 @@
         "_clock",
         "_homes",
         "_ledger",
-        "_moved",
+        "_reconfigured",
         "_rng",
         "_vms",
-        "_whole",
+        "_was_established",
     )
 
     def __init__(
@@ -78,11 +78,11 @@
         self._rng = rng
         self._audit = audit
         self._vms = VmWatch(clock)
-        self._moved = Signal()
-        self._whole: dict[str, bool] = {}
+        self._reconfigured = Signal()
+        self._was_established: dict[str, bool] = {}
 
     def calls(self) -> tuple[UnaryCall, ...]:
-        """Return the calls that this agent answers."""
+        """Return the RPC handlers of this agent."""
         return (
             UnaryCall(FENCE, self._answer_fence),
             UnaryCall(LOOK_UP, self._answer_look_up),
@@ -90,66 +90,66 @@
         )
 
     def configured(self, cfg: Configuration) -> None:
-        """Stand at a configuration that came into force."""
+        """Apply a configuration that came into force."""
         self._homes.configure(cfg)
-        self._moved.notify()
+        self._reconfigured.notify()
 
     def listed(self, vms: VmList) -> None:
-        """Take in the platform's list."""
+        """Apply the platform's list of VMs."""
         gone = self._vms.observe(vm.name for vm in vms.vms)
         if gone:
             self._homes.note_gone(gone)
 
     def admit(self, key: RunKey) -> Refuse | None:
-        """Return why a key without a record may not be run here, None where it may."""
+        """Return why a key without a record may not run here, or None if it may."""
         return self._homes.admit(key)
 
     def keep_until(self, key: RunKey) -> float:
-        """Return the clock reading until which a key that is begun now is remembered."""
+        """Return the timestamp until which the record of a key that starts now is kept."""
         return self._homes.keep_until(key)
 
     async def ask(self, question: LookUp) -> LookUpReply:
-        """Ask the agent that made a try how it ended.
+        """Ask the agent that made an attempt for its outcome.
 
         Raises:
-            PeerError: It does not answer.
+            PeerError: The agent does not answer.
         """
         address = Address.parse(question.run.member.agent)
         reply: LookUpReply = await self._client.call(address, LOOK_UP, question, CALL_TIMEOUT)
         return reply
 
     async def run(self) -> None:
-        """Seek and renew the other agents' promises until cancelled."""
+        """Request and renew the other agents' promises until cancelled."""
         while True:
             wait = RETRY_INTERVAL
             async with anyio.create_task_group() as tasks:
                 for scope in self._homes.scopes():
-                    tasks.start_soon(self._round, scope)
-            waits = [self._next_round(scope) for scope in self._homes.scopes()]
+                    tasks.start_soon(self._request_promises, scope)
+            waits = [self._next_interval(scope) for scope in self._homes.scopes()]
             wait = min(waits, default=RETRY_INTERVAL)
             with anyio.move_on_after(self._rng.uniform(wait / 2, wait)):
-                await self._moved.wait()
+                await self._reconfigured.wait()
 
     async def hand_over(self, until: float) -> bool:
-        """Hand the ledger to the other agents; return whether all of it was taken.
+        """Send the ledger to the other agents; return whether all of it was accepted.
 
         Args:
-            until: Clock reading at which it is given up.
+            until: Timestamp at which the attempt ends.
         """
         departure = Departure(self._homes, self._ledger)
         while not departure.finished and self._clock.monotonic() < until:
             async with anyio.create_task_group() as tasks:
                 for receiver, part in departure.pending():
-                    tasks.start_soon(self._hand_part, departure, receiver, part)
+                    tasks.start_soon(self._send_part, departure, receiver, part)
             if not departure.finished:
-                await anyio.sleep(HANDOVER_PAUSE)
+                await anyio.sleep(HANDOVER_RETRY_INTERVAL)
         return departure.finished
 
     def close(self) -> None:
-        """Begin no key that has no record from here on."""
+        """Stop starting keys that have no record."""
         self._homes.close()
 
-    async def _round(self, scope: str) -> None:
+    async def _request_promises(self, scope: str) -> None:
         async with anyio.create_task_group() as tasks:
             for member, request in self._homes.requests(scope):
                 tasks.start_soon(self._request, member, request)
@@ -160,7 +160,7 @@
         if reply is not None:
             self._homes.take(reply, self._ledger)
 
-    async def _hand_part(self, departure: Departure, receiver: Member, part: Handover) -> None:
+    async def _send_part(self, departure: Departure, receiver: Member, part: Handover) -> None:
         reply = await self._call(receiver, HANDOVER, part)
         if reply is not None:
             departure.taken(reply)
@@ -171,10 +171,10 @@
                 Address.parse(member.agent), method, message, CALL_TIMEOUT
             )
         except PeerError as exc:
-            logger.bind(peer=member.endpoint).debug("{} got no reply: {}", method.path, exc)
+            logger.bind(peer=member.endpoint).debug("call {} failed: {}", method.path, exc)
             return None
 
-    def _next_round(self, scope: str) -> float:
+    def _next_interval(self, scope: str) -> float:
         if isinstance(self._homes.status(scope), Missing):
             return RETRY_INTERVAL
         return self._homes.renewal(scope)
@@ -182,15 +182,15 @@
     def _note_change(self, scope: str) -> None:
         status = self._homes.status(scope)
         missing = status.members if isinstance(status, Missing) else ()
-        whole = not isinstance(status, Missing)
-        if whole == self._whole.get(scope, False):
+        established = not isinstance(status, Missing)
+        if established == self._was_established.get(scope, False):
             return
-        self._whole[scope] = whole
-        after = "established" if whole else "not established"
-        before = "not established" if whole else "established"
-        reason = "all have promised"
-        if not whole:
-            reason = f"not heard: {', '.join(member.endpoint for member in missing)}"
+        self._was_established[scope] = established
+        after = "established" if established else "not established"
+        before = "not established" if established else "established"
+        reason = "received a promise from every member"
+        if not established:
+            reason = f"no promise received from: {', '.join(member.endpoint for member in missing)}"
         self._audit.record(Subject.MEMBER, scope, before, after, reason)
 
     async def _answer_fence(self, sender: str, request: FenceRequest) -> FenceReply:
--- a/carawayhub/agent/ledger.py
+++ b/carawayhub/agent/ledger.py
@@ -1,8 +1,8 @@
-"""What one agent incarnation knows of run-once requests, in memory only.
+"""In-memory records of the run-once requests of one agent incarnation.
 
-The rule that everything rests on: a key has at most one record, a record that says that the request
-may have run is never turned into a new try, and no record is forgotten before it expires. When the
-ledger is full it takes no new request; it never makes room by forgetting.
+The invariant: a key has at most one record, a key whose record says that the request may have run
+is never attempted again, and no record is removed before it expires. A full ledger rejects new
+requests; it never evicts records to make room.
 
 Example:
     >>> from carawayhub.clock import ManualClock
@@ -52,17 +52,17 @@
 from carawayhub.codes import Code
 
 ENTRY_BYTES = 600
-"""Memory of one record without its answer, rounded up; ``benchmarks.ledger`` measures it."""
+"""Memory of one record without its answer, rounded up; see ``benchmarks.ledger``."""
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class LedgerLimits:
-    """Bounds of a ledger.
+    """Size limits of a ledger.
 
     Attributes:
-        entries: Records in all.
-        total_bytes: Memory of records and answers.
-        answer_bytes: Largest answer that is kept.
+        entries: Maximum number of records.
+        total_bytes: Maximum memory of records and answers.
+        answer_bytes: Size of the largest answer that is stored.
     """
 
     entries: int = 20_000
@@ -77,7 +77,7 @@
         clock: The agent's clock.
         member: The agent's slot.
         incarnation: Random number that the agent drew when it started.
-        limits: Bounds of memory.
+        limits: Size limits.
     """
 
     __slots__ = (
@@ -87,7 +87,7 @@
         "_incarnation",
         "_limits",
         "_member",
-        "_number",
+        "_previous_run_number",
         "_records",
         "conflicts",
     )
@@ -102,17 +102,17 @@
         self._records: dict[RunKey, Record] = {}
         self._expiry: list[tuple[float, RunKey]] = []
         self._bytes = 0
-        self._number = 0
+        self._previous_run_number = 0
         self.conflicts = 0
 
     @property
     def entries(self) -> int:
-        """Keys that are remembered."""
+        """Number of keys with a record."""
         return len(self._records)
 
     @property
     def used_bytes(self) -> int:
-        """Memory of records and answers, as it is counted against the bound."""
+        """Memory of records and answers, as counted against ``LedgerLimits.total_bytes``."""
         return self._bytes
 
     def begin(
@@ -123,39 +123,39 @@
         Args:
             key: The request.
             body_digest: SHA-256 of its method, path and body.
-            keep_until: Reading of the clock until which it must be remembered.
-            gate: Why a request without a record may not be begun, none where it may. It must have
-                been worked out in the same step, with no wait in between.
+            keep_until: Timestamp until which its record must be kept.
+            gate: Why a request without a record may not start, or None if it may. It must have been
+                determined in the same task step, with no ``await`` in between.
         """
         self._expire()
         record = self._records.get(key)
         if record is None:
-            return self._begin_unseen(key, body_digest, keep_until, gate)
+            return self._begin_new(key, body_digest, keep_until, gate)
         if record.body_digest != body_digest:
             return Refuse(Code.RUN_BODY_DIFFERS)
-        return self._begin_seen(key, record, gate)
+        return self._begin_known(key, record, gate)
 
     def finish(self, key: RunKey, run: RunId, result: RunResult) -> bool:
-        """Record how a try ended and wake those that wait for it.
+        """Record the outcome of an attempt and wake the tasks that wait for it.
 
         Returns:
-            Whether ``run`` was the running try of ``key``.
+            Whether ``run`` was the running attempt of ``key``.
         """
         record = self._records.get(key)
         if record is None or record.state != Running(run):
             return False
         if isinstance(result, NotRun):
             record.unsent = run.number
-            self._put(record, IDLE)
+            self._set_state(record, IDLE)
         else:
-            self._put(record, self._bounded(result))
+            self._set_state(record, self._limit_answer_size(result))
         if record.done is not None:
             record.done.set()
             record.done = None
         return True
 
     def look_up(self, question: LookUp) -> LookUpReply:
-        """Answer another agent that asks how a try of this agent ended."""
+        """Answer another agent that asks for the outcome of an attempt of this agent."""
         self._expire()
         record = self._records.get(question.key)
         if record is None or question.run.incarnation != self._incarnation:
@@ -165,10 +165,10 @@
         return LookUpReply(question.key, question.run, not_run=not_run, entry=entry)
 
     def resolve(self, reply: LookUpReply) -> None:
-        """Take in what the agent that made a try says of it.
+        """Apply the reply of the agent that made an attempt.
 
-        A try that its agent has no record of any more, or whose agent has ended, may have run:
-        its outcome stays unknown for good.
+        An attempt of which its agent has no record any more, or whose agent has ended, may have
+        run: its outcome stays unknown permanently.
         """
         record = self._records.get(reply.key)
         if record is None or not isinstance(record.state, RunsElsewhere):
@@ -176,48 +176,48 @@
         if reply.run not in record.state.runs:
             return
         if reply.entry is None and not reply.not_run:
-            self._put(record, OutcomeUnknown(int(Code.RUN_INCARNATION_GONE)))
+            self._set_state(record, OutcomeUnknown(int(Code.RUN_INCARNATION_GONE)))
             return
         if reply.not_run:
-            self._put(record, without_run(record.state, reply.run))
+            self._set_state(record, without_run(record.state, reply.run))
         if reply.entry is not None:
-            self.absorb((reply.entry,))
+            self.merge((reply.entry,))
 
     def export(self, wanted: Callable[[RunKey], bool]) -> tuple[LedgerEntry, ...]:
-        """Return entries of idempotency keys that ``wanted`` picks, for another agent.
+        """Return the entries of idempotency keys that match ``wanted``, for another agent.
 
-        Tickets stay: no other incarnation may run them.
+        Tickets are excluded: no other incarnation may run them.
         """
         self._expire()
-        return tuple(self._wanted_entries(wanted))
+        return tuple(self._matching_entries(wanted))
 
-    def absorb(self, entries: tuple[LedgerEntry, ...]) -> None:
-        """Take over what another agent knows.
+    def merge(self, entries: tuple[LedgerEntry, ...]) -> None:
+        """Merge the entries of another agent.
 
-        Facts are taken even when the ledger is full: to forget one could let a key run twice. Only
-        the body of an answer is given up then.
+        Entries are added even when the ledger is full: dropping one could let a key run twice. Only
+        the body of an answer is dropped then.
         """
         for entry in entries:
-            self._absorb_one(entry)
+            self._merge_entry(entry)
 
     def running(self) -> int:
-        """Return how many requests run here now."""
+        """Return the number of requests that run here now."""
         return sum(isinstance(record.state, Running) for record in self._records.values())
 
-    def _begin_unseen(
+    def _begin_new(
         self, key: RunKey, body_digest: bytes, keep_until: float, gate: Refuse | None
     ) -> Begin:
         if gate is not None:
             return gate
         if keep_until <= self._clock.monotonic():
-            # A record of it may just have expired: a run now could be the second one.
+            # Its record may just have expired, so this run could be the second one.
             return Refuse(Code.RUN_EXPIRED)
         if self._full():
             return Refuse(Code.OVERLOADED, self._seconds_to_next_expiry(), "the ledger is full")
         record = self._add(key, body_digest, keep_until, IDLE)
         return self._start(record)
 
-    def _begin_seen(self, key: RunKey, record: Record, gate: Refuse | None) -> Begin:
+    def _begin_known(self, key: RunKey, record: Record, gate: Refuse | None) -> Begin:
         match record.state:
             case Running():
                 record.done = record.done or anyio.Event()
@@ -227,7 +227,9 @@
             case Answer() as answer:
                 return Replay(answer, self._remaining(record))
             case AnswerNotKept(status=status):
-                return Refuse(Code.RUN_ANSWER_NOT_KEPT, detail=f"its HTTP status was {status}")
+                return Refuse(
+                    Code.RUN_ANSWER_NOT_KEPT, detail=f"the answer's HTTP status was {status}"
+                )
             case OutcomeUnknown(code=code):
                 return Refuse(Code(code))
             case RunsElsewhere(runs=runs):
@@ -239,21 +241,21 @@
         return Run(run)
 
     def _next_run(self) -> RunId:
-        self._number += 1
-        return RunId(self._member, self._incarnation, self._number)
+        self._previous_run_number += 1
+        return RunId(self._member, self._incarnation, self._previous_run_number)
 
     def _add(self, key: RunKey, body_digest: bytes, deadline: float, state: State) -> Record:
-        record = Record(body_digest, deadline, state, first=self._number + 1)
+        record = Record(body_digest, deadline, state, first=self._previous_run_number + 1)
         self._records[key] = record
         self._bytes += ENTRY_BYTES + answer_bytes(state)
         heapq.heappush(self._expiry, (record.deadline, key))
         return record
 
-    def _put(self, record: Record, state: State) -> None:
+    def _set_state(self, record: Record, state: State) -> None:
         self._bytes += answer_bytes(state) - answer_bytes(record.state)
         record.state = state
 
-    def _bounded(self, state: EntryState) -> EntryState:
+    def _limit_answer_size(self, state: EntryState) -> EntryState:
         if not isinstance(state, Answer):
             return state
         size = answer_bytes(state)
@@ -281,7 +283,7 @@
                 heapq.heappush(self._expiry, (record.deadline, key))
                 continue
             if isinstance(record.state, Running):
-                # A run that outlives its key: forgetting it would free the key while it runs.
+                # The run outlasts its key; without the record the key could run a second time.
                 record.deadline = now + 1.0
                 heapq.heappush(self._expiry, (record.deadline, key))
                 continue
@@ -291,7 +293,7 @@
     def _remaining(self, record: Record) -> float:
         return max(0.0, record.deadline - self._clock.monotonic())
 
-    def _wanted_entries(self, wanted: Callable[[RunKey], bool]) -> Iterator[LedgerEntry]:
+    def _matching_entries(self, wanted: Callable[[RunKey], bool]) -> Iterator[LedgerEntry]:
         for key, record in self._records.items():
             if key.ticket or not wanted(key):
                 continue
@@ -309,19 +311,19 @@
                 state = known
         return LedgerEntry(key, record.body_digest, self._remaining(record), state)
 
-    def _absorb_one(self, entry: LedgerEntry) -> None:
+    def _merge_entry(self, entry: LedgerEntry) -> None:
         state = without_own(entry.state, self._incarnation)
         if state is None:
             return
         deadline = self._clock.monotonic() + entry.remaining
         record = self._records.get(entry.key)
         if record is None:
-            self._add(entry.key, entry.body_digest, deadline, self._bounded(state))
+            self._add(entry.key, entry.body_digest, deadline, self._limit_answer_size(state))
             return
         if isinstance(record.state, Running) and not isinstance(state, RunsElsewhere):
             self.conflicts += 1
         record.deadline = max(record.deadline, deadline)
         joined = join(record.state, state)
         if joined is state:
-            joined = self._bounded(state)
-        self._put(record, joined)
+            joined = self._limit_answer_size(state)
+        self._set_state(record, joined)
--- a/carawayhub/agent/process.py
+++ b/carawayhub/agent/process.py
@@ -12,12 +12,12 @@
 from carawayhub.agent.gate import Gate
 from carawayhub.agent.grouptask import GroupTask, Seat
 from carawayhub.agent.homes import Homes
-from carawayhub.agent.keys import KeyKeeper
+from carawayhub.agent.keys import KeyCoordinator
 from carawayhub.agent.leasekeeper import LeaseKeeper
 from carawayhub.agent.ledger import Ledger
 from carawayhub.agent.messages import Member as Slot
 from carawayhub.agent.reporter import Reporter, is_engine
-from carawayhub.agent.tickets import Epochs, TicketOffice
+from carawayhub.agent.tickets import Epochs, TicketCodec
 from carawayhub.config.model import Configuration, Endpoint
 from carawayhub.endpoints.upstream import Upstream
 from carawayhub.endpoints.watch import EngineWatch, ServiceWatch
@@ -70,14 +70,16 @@
             identity.name, identity.vm, identity.incarnation, clock, runtime.audit, member.announce
         )
         homes = Homes(clock, slot, identity.incarnation)
-        self._keys = KeyKeeper(homes, self._ledger, member.calls, clock, runtime.rng, runtime.audit)
+        self._keys = KeyCoordinator(
+            homes, self._ledger, member.calls, clock, runtime.rng, runtime.audit
+        )
         self._upstream = Upstream(clock=clock)
         self._gate = Gate(
             clock,
             identity.name,
             self._ledger,
             self._epochs,
-            TicketOffice(settings.system_key),
+            TicketCodec(settings.system_key),
             self._keys,
             self._reporter,
             member.knowledge.pauses,
--- a/carawayhub/entry/process.py
+++ b/carawayhub/entry/process.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from carawayhub.addresses import Address
-from carawayhub.agent.tickets import TicketOffice
+from carawayhub.agent.tickets import TicketCodec
 from carawayhub.config.model import Configuration, Endpoint, EndpointState, EntryNode
 from carawayhub.endpoints.endings import Endings
 from carawayhub.endpoints.upstream import Upstream
@@ -79,7 +79,7 @@
         endings = Endings(self._upstream, records, clock, metrics.endpoint_ended)
         ends = EndWatch(endings, self._router.is_leaving, clock, rng)
         self._relay = Relay(clock, rng, self._router, self._retries, self._upstream, metrics, ends)
-        office = TicketOffice(settings.system_key)
+        office = TicketCodec(settings.system_key)
         calls = runtime.member.calls
         self._run_once = RunOnce(clock, rng, self._reports, office, calls, ends)
         self._app = EntryApp(
--- a/carawayhub/entry/runonce.py
+++ b/carawayhub/entry/runonce.py
@@ -15,7 +15,7 @@
 from carawayhub.addresses import Address
 from carawayhub.agent.keyset import KeySet, KeySets, model_scope, service_scope
 from carawayhub.agent.messages import RunKey
-from carawayhub.agent.tickets import TicketOffice
+from carawayhub.agent.tickets import TicketCodec
 from carawayhub.clock import Clock
 from carawayhub.codes import Code
 from carawayhub.config.model import Configuration, Organisation
@@ -107,7 +107,7 @@
         clock: Clock,
         rng: random.Random,
         reports: Reports,
-        office: TicketOffice,
+        office: TicketCodec,
         client: CallClient,
         ends: EndWatch,
     ) -> None:
--- a/tests/entry_fakes.py
+++ b/tests/entry_fakes.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from carawayhub.addresses import Address
-from carawayhub.agent.tickets import TicketOffice
+from carawayhub.agent.tickets import TicketCodec
 from carawayhub.clock import ManualClock
 from carawayhub.config.check import load
 from carawayhub.config.files import ConfigFile
@@ -178,7 +178,7 @@
         self.is_ready, self.is_confirmed, self.has_doubt = True, True, False
         rng = random.Random(5)
         self.reports = Reports()
-        office = TicketOffice("0123456789abcdef")
+        office = TicketCodec("0123456789abcdef")
         self.records = PoisonRecords(self.clock)
         self.upstream = FakeUpstream()
         endings = Endings(
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate of run-once requests when the way to the endpoint fails in unforeseen ways."""
+"""Run-once requests when the connection to the endpoint fails in unexpected ways."""
 
 import unittest
 from collections.abc import AsyncIterator
@@ -12,7 +12,7 @@
 from carawayhub.agent.ledger import Ledger
 from carawayhub.agent.messages import LookUp, LookUpReply, Member, RunKey
 from carawayhub.agent.reporter import Reporter
-from carawayhub.agent.tickets import Epochs, TicketOffice
+from carawayhub.agent.tickets import Epochs, TicketCodec
 from carawayhub.clock import ManualClock
 from carawayhub.codes import Code
 from carawayhub.endpoints.ports import CacheChange, Load
@@ -32,7 +32,7 @@
 
 
 class FaultyUpstream(Upstream):
-    """Fails in a way that no library documents, or not at all."""
+    """Raises an error that no library documents."""
 
     @asynccontextmanager
     async def open(self, req: UpstreamRequest) -> AsyncIterator[UpstreamResponse]:
@@ -42,7 +42,7 @@
 
 
 class OneAnswer:
-    """A whole answer with status 200."""
+    """A complete answer with status 200."""
 
     status = 200
     headers = ()
@@ -55,7 +55,7 @@
 
 
 class AnsweringUpstream(Upstream):
-    """Gives the same answer to each request."""
+    """Returns the same answer to each request."""
 
     def __init__(self, body: bytes) -> None:
         super().__init__()
@@ -67,7 +67,7 @@
 
 
 class OpenRules:
-    """Lets every key be begun here."""
+    """Allows every key to start here."""
 
     def admit(self, key: RunKey) -> Refuse | None:
         return None
@@ -80,7 +80,7 @@
 
 
 class Watch:
-    """An endpoint that answers."""
+    """An endpoint that answers polls."""
 
     async def load(self) -> Load:
         return Load()
@@ -108,7 +108,7 @@
 
 @asynccontextmanager
 async def open_gate(upstream: Upstream) -> AsyncIterator[Gate]:
-    """Give the gate of an agent whose endpoint answers polls."""
+    """Yield the gate of an agent whose endpoint answers polls."""
     clock = ManualClock(100.0)
     ledger = Ledger(clock, Member(NAME, "127.0.0.1:1"), 7)
     reporter = Reporter(NAME, "vm", 7, clock, AuditTrail("agent", clock), lambda: None)
@@ -118,7 +118,7 @@
             NAME,
             ledger,
             Epochs(clock, NAME, 7),
-            TicketOffice("a key of the test fleet"),
+            TicketCodec("a key of the test fleet"),
             OpenRules(),
             reporter,
             PauseDetector(clock),
@@ -138,13 +138,13 @@
 
 
 class GateTest(unittest.IsolatedAsyncioTestCase):
-    """One agent's gate over a faulty way to its endpoint."""
+    """The gate of one agent with a faulty connection to its endpoint."""
 
     async def test_an_unforeseen_fault_leaves_the_agent_and_its_ledger(self) -> None:
-        """Everything that an agent ran becomes unknown at once.
+        """An unexpected exception in one run must not end the agent.
 
-        One run fails inside a library in a way that nothing expects. The error passed the task
-        that carried the run, ended the process and with it the memory of all other runs.
+        An exception inside a library that escapes the task of the run would end the process, and
+        the outcome of all other runs would be lost with the in-memory ledger.
         """
         async with open_gate(FaultyUpstream()) as gate:
             first = await gate.run("entry", run_request("k"))
@@ -153,10 +153,10 @@
         self.assertEqual(gate._ledger.running(), 0)
 
     async def test_answer_without_the_id_of_its_request_is_refused(self) -> None:
-        """A mood tag came back empty and was taken for whole.
+        """An answer to another request must not be returned to the caller.
 
-        Something between agent and engine crosses two answers. A run-once request gets what the
-        engine answered to a poll of its load, which has status 200 and no header with an id.
+        If two answers are swapped between agent and engine, a run-once request can receive the
+        reply to a load poll, which has status 200 and no header with a request id.
         """
         req = msgspec.structs.replace(run_request("k"), target="model/assistant")
         cases = {
--- a/tests/test_run_once_ledger.py
+++ b/tests/test_run_once_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: one record for each key, never forgotten early, joined with others' knowledge."""
+"""The ledger: one record per key, never removed early, merged with other agents' entries."""
 
 import tracemalloc
 import unittest
@@ -35,7 +35,7 @@
 
 
 class Case(unittest.TestCase):
-    """One ledger, and how a request is begun at it."""
+    """One ledger and a helper that starts a request."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -47,12 +47,12 @@
 
 
 class LedgerTest(Case):
-    """One agent alone."""
+    """A single agent."""
 
     def test_a_retry_after_a_lost_reply_gets_the_first_answer(self):
-        """A visitor books a bench and the reply is lost; the app sends the same key again.
+        """The reply to a request is lost and the client retries with the same key.
 
-        Without the record the bench would be booked twice.
+        Without the record the request would run twice.
         """
         run = self.begin().run
         self.ledger.finish(KEY, run, Answer(201, (), b"bench 4"))
@@ -80,10 +80,10 @@
         self.assertEqual(self.begin(digest=b"other"), Refuse(Code.RUN_BODY_DIFFERS))
 
     def test_a_full_ledger_refuses_and_forgets_nothing(self):
-        """A Saturday surge fills the ledger.
+        """A burst of requests fills the ledger.
 
-        Were the oldest records dropped to make room, a late retry of one of them would book its
-        bench a second time.
+        If the oldest records were evicted to make room, a late retry of one of them would run a
+        second time.
         """
         small = ledger_of(self.clock, entries=1)
         run = self.begin(ledger=small).run
@@ -93,7 +93,7 @@
         self.assertIsInstance(self.begin(ledger=small), Replay)
 
     def test_the_memory_that_is_counted_covers_the_memory_that_is_used(self):
-        """Were entries larger than counted, a surge would take the agent past its 64 MB."""
+        """If entries were larger than counted, a burst would take the agent past its 64 MB."""
         roomy = ledger_of(self.clock, entries=10_000, total_bytes=2**30)
         tracemalloc.start()
         self.addCleanup(tracemalloc.stop)
@@ -116,7 +116,7 @@
         self.ledger.finish(KEY, run, Answer(200))
 
     def test_a_key_that_expired_between_check_and_begin_is_refused(self):
-        """An agent checks a ticket, is paused, and begins it after its record was forgotten."""
+        """An agent is paused between checking a ticket and starting it; the record expires."""
         self.assertEqual(
             self.ledger.begin(KEY, b"d", self.clock.monotonic()), Refuse(Code.RUN_EXPIRED)
         )
@@ -134,17 +134,17 @@
 
 
 class TwoLedgersTest(Case):
-    """An agent that begins keys and one that takes them over."""
+    """An agent that starts keys and one that takes them over."""
 
     def setUp(self):
         super().setUp()
         self.other = ledger_of(self.clock, BETA, incarnation=2)
 
     def hand_over(self):
-        self.other.absorb(self.ledger.export(lambda key: True))
+        self.other.merge(self.ledger.export(lambda key: True))
 
     def test_a_run_that_goes_on_elsewhere_is_asked_for_and_not_repeated(self):
-        """A bench moves to another agent while its booking still runs at the first one."""
+        """A key moves to another agent while its request still runs at the first one."""
         run = self.begin().run
         self.hand_over()
         asked = self.begin(ledger=self.other)
@@ -164,9 +164,9 @@
         self.assertIsInstance(self.begin(ledger=self.other), Run)
 
     def test_an_agent_that_restarted_cannot_free_a_key(self):
-        """The agent that runs a booking crashes and starts again; asked, it knows nothing.
+        """The agent that runs a request crashes and restarts without a record of it.
 
-        Taking "I know nothing" for "it did not run" would book the bench twice.
+        Treating "no record" as "did not run" would run the request twice.
         """
         self.begin()
         self.hand_over()
@@ -176,7 +176,7 @@
         self.assertEqual(self.begin(ledger=self.other), Refuse(Code.RUN_INCARNATION_GONE))
 
     def test_a_forgotten_answer_cannot_free_a_key(self):
-        """The home asks about a run a moment after its agent forgot the answer as expired."""
+        """The home asks for an outcome just after the answer expired at the agent that ran it."""
         run = self.begin().run
         self.hand_over()
         asked = self.begin(ledger=self.other)
@@ -186,14 +186,14 @@
         self.assertEqual((reply.not_run, reply.entry), (False, None))
 
     def test_a_late_message_about_an_older_try_does_not_hide_a_newer_one(self):
-        """A key was tried at alpha, with nothing sent, then moved and was begun at gamma.
+        """A key was attempted at alpha, which sent nothing, then moved and started at gamma.
 
-        Word of gamma's try overtakes word of alpha's. Had the late word replaced it, alpha's "sent
-        nothing" would free the key while gamma runs it.
+        The message about gamma's attempt arrives before the one about alpha's. If the later
+        message replaced it, alpha's "sent nothing" would free the key while gamma runs it.
         """
         older, newer = self.begin().run, RunId(Member("gamma", "10.0.0.3:7100"), 3, 1)
         for run in (newer, older):
-            self.other.absorb((LedgerEntry(KEY, b"d", KEEP, RunsElsewhere((run,))),))
+            self.other.merge((LedgerEntry(KEY, b"d", KEEP, RunsElsewhere((run,))),))
         self.ledger.finish(KEY, older, NotRun(int(Code.CONNECT_FAILED)))
         self.other.resolve(self.ledger.look_up(LookUp(KEY, older)))
         self.assertEqual(self.begin(ledger=self.other), Ask(LookUp(KEY, newer)))
@@ -201,7 +201,7 @@
     def test_a_full_ledger_takes_facts_over_and_gives_up_only_the_answer(self):
         small = ledger_of(self.clock, BETA, 2, total_bytes=ENTRY_BYTES + 10)
         self.ledger.finish(KEY, self.begin().run, Answer(201, (), b"x" * 2000))
-        small.absorb(self.ledger.export(lambda key: True))
+        small.merge(self.ledger.export(lambda key: True))
         self.assertEqual(self.begin(ledger=small).code, Code.RUN_ANSWER_NOT_KEPT)
 
 
@@ -212,10 +212,10 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Any mix of begins, ends, handovers, lookups and waiting at two agents.
+    """Any sequence of starts, results, handovers, lookups and delays at two agents.
 
-    ``sent`` counts the tries of a key that may have sent something since it was first begun. Two
-    agents stand for a home that moves: only ``home`` begins keys, and the move is a handover.
+    ``sent`` counts the attempts of a key that may have sent something since it first started. The
+    two agents model a home that moves: only ``home`` starts keys, and the move is a handover.
     """
 
     def __init__(self):
@@ -260,7 +260,7 @@
     def move_home(self):
         entries = self.ledgers[self.home].export(lambda key: True)
         self.home = 1 - self.home
-        self.ledgers[self.home].absorb(entries)
+        self.ledgers[self.home].merge(entries)
 
     @rule(seconds=st.sampled_from([1.0, 30.0, 60.0]))
     def wait(self, seconds):
--- a/tests/test_run_once_tickets.py
+++ b/tests/test_run_once_tickets.py
@@ -1,4 +1,4 @@
-"""Tickets: signed, for one incarnation, and refused from the moment they are forgotten."""
+"""Tickets: signed, bound to one incarnation, rejected once their record is removed."""
 
 import random
 import unittest
@@ -9,7 +9,7 @@
 from carawayhub.agent.begin import Refuse, Replay, Run
 from carawayhub.agent.ledger import Ledger
 from carawayhub.agent.messages import Answer, Member
-from carawayhub.agent.tickets import Admitted, Epochs, TicketOffice
+from carawayhub.agent.tickets import Admitted, Epochs, TicketCodec
 from carawayhub.clock import ManualClock
 from carawayhub.codes import Code
 from carawayhub.errors import RequestError
@@ -18,17 +18,17 @@
 
 
 class TicketsTest(unittest.TestCase):
-    """An office, and one agent with a short ticket life."""
+    """A ticket codec, and one agent with a short ticket lifetime."""
 
     def setUp(self):
         self.clock = ManualClock()
-        self.office = TicketOffice("secret", random.Random(1).randbytes)
+        self.codec = TicketCodec("secret", random.Random(1).randbytes)
         self.epochs = Epochs(self.clock, "bench-1", 7, epoch_seconds=5.0, ticket_epochs=4)
         self.ledger = Ledger(self.clock, Member("bench-1", "10.0.0.1:7100"), 7)
 
-    def ticket(self, incarnation=7, epoch=1, office=None):
-        issued = (office or self.office).issue(SCOPE, "cafe", "bench-1", incarnation, epoch)
-        return self.office.read(issued)
+    def ticket(self, incarnation=7, epoch=1, codec=None):
+        issued = (codec or self.codec).issue(SCOPE, "cafe", "bench-1", incarnation, epoch)
+        return self.codec.read(issued)
 
     def begin(self, ticket):
         admitted = self.epochs.admit(ticket)
@@ -45,17 +45,17 @@
             self.assertIsInstance(self.begin(ticket), Replay)
 
     def test_a_restarted_agent_does_not_run_the_ticket_of_the_one_before(self):
-        """A booking runs, the agent crashes before it replies, and a new one starts there.
+        """The agent crashes during a run, before it replies, and a new incarnation starts.
 
-        The new one knows nothing; running the retry would put two people on one bench.
+        The new incarnation has no record, so running the retry would execute the request twice.
         """
         refused = self.epochs.admit(self.ticket(incarnation=6))
         self.assertEqual(refused, Refuse(Code.RUN_INCARNATION_GONE))
 
     def test_a_ticket_is_refused_from_the_reading_at_which_it_is_forgotten(self):
-        """A tablet sleeps through the life of its ticket and sends the booking again on waking.
+        """A client is suspended for the lifetime of its ticket and then retries the request.
 
-        Were the record forgotten a moment before the ticket is refused, it would run twice.
+        If the record were removed before the ticket is rejected, the request would run twice.
         """
         ticket = self.ticket()
         self.ledger.finish(ticket.run_key, self.begin(ticket).run, Answer(201))
@@ -79,11 +79,11 @@
 
     def test_a_ticket_signed_with_another_key_is_malformed(self):
         with self.assertRaises(RequestError) as caught:
-            self.ticket(office=TicketOffice("another"))
+            self.ticket(codec=TicketCodec("another"))
         self.assertEqual(caught.exception.code, Code.TICKET_MALFORMED)
 
     def test_a_request_that_was_long_on_its_way_is_refused(self):
-        """An entry is paused for minutes with a booking in hand and wakes after its key expired."""
+        """An entry is paused for minutes with a pending request; its key expires meanwhile."""
         self.assertIsNone(self.epochs.stamp_refusal(self.epochs.current))
         stamp = self.epochs.current
         self.clock.advance(self.epochs.late_arrival)
@@ -92,19 +92,19 @@
     @settings(derandomize=True, max_examples=300, database=None)
     @given(st.data())
     def test_no_changed_ticket_is_read(self, data):
-        # A nonce of its own for each example would make the examples differ from run to run.
-        office = TicketOffice("secret", random.Random(1).randbytes)
-        text = office.issue(SCOPE, "cafe", "bench-1", 7, 1)
+        # A fixed seed: with a random nonce the examples would differ between test runs.
+        codec = TicketCodec("secret", random.Random(1).randbytes)
+        text = codec.issue(SCOPE, "cafe", "bench-1", 7, 1)
         place = data.draw(st.integers(0, len(text) - 2))
         other = data.draw(st.sampled_from("AZaz09-_").filter(lambda char: char != text[place]))
         with self.assertRaises(RequestError):
-            self.office.read(text[:place] + other + text[place + 1 :])
+            self.codec.read(text[:place] + other + text[place + 1 :])
 
     @settings(derandomize=True, max_examples=200, database=None)
     @given(st.text(max_size=80))
     def test_any_text_is_either_a_ticket_or_refused_by_code(self, text):
         with self.assertRaises(RequestError) as caught:
-            self.office.read(text)
+            self.codec.read(text)
         self.assertEqual(caught.exception.code, Code.TICKET_MALFORMED)
 
 
