--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from carawayhub.agent.begin import Run
-from carawayhub.agent.handover import Departure
+from carawayhub.agent.handover import PendingHandover
 from carawayhub.agent.homes import Homes
 from carawayhub.agent.keyset import Seat, key_set
 from carawayhub.agent.keytiming import KeyTiming
@@ -204,7 +204,7 @@
     homes.adopt({SCOPE: keys}, 1)
     ledger = _filled(ENTRIES, BOOKING_ANSWER)
     start = time.process_time()
-    parts = Departure(homes, ledger).pending()
+    parts = PendingHandover(homes, ledger).pending()
     encoded = [msgspec.msgpack.encode(part) for _, part in parts]
     taken = time.process_time() - start
     size = sum(len(part) for part in encoded)
--- a/carawayhub/agent/closed.py
+++ b/carawayhub/agent/closed.py
@@ -1,4 +1,4 @@
-"""Which incarnations of peers stopped as planned and handed their whole ledger over before."""
+"""Tracks incarnations of peers that handed over their complete ledger before a planned stop."""
 
 from dataclasses import dataclass, field
 
@@ -11,7 +11,7 @@
 
     Attributes:
         incarnation: Its number.
-        until: Reading until which keys that it had no entry of may have run.
+        until: Timestamp until which keys without an entry in its ledger may have run.
     """
 
     incarnation: int
@@ -20,14 +20,14 @@
 
 @dataclass(slots=True)
 class _Slot:
-    """What was heard from one slot.
+    """Messages received from one slot.
 
     Attributes:
-        incarnation: Whose requests came last.
-        closed: That incarnation, once all parts of its handover are here.
-        before: The incarnation before it, where that one had closed.
-        parts: Numbers of the parts that are here.
-        retired: Incarnations that others came after; late messages of theirs mean nothing.
+        incarnation: Incarnation that sent the latest request.
+        closed: That incarnation, once all parts of its handover have arrived.
+        before: The preceding incarnation, if it had closed.
+        parts: Numbers of the parts that have arrived.
+        retired: Superseded incarnations; late messages from them are ignored.
     """
 
     incarnation: int
@@ -38,11 +38,11 @@
 
 
 class ClosedIncarnations:
-    """Remembers for each slot the incarnation that closed, for the one right after it.
+    """Records for each slot the incarnation that closed, to report it to its direct successor.
 
-    The next but one is not told: if the one in between crashed, the keys that it ran are lost, and
-    taking the older handover for the whole truth would run them a second time. For the same reason
-    a handover counts only while its sender is the last incarnation heard from the slot.
+    It is not reported to later incarnations: if the one in between crashed, the records of the keys
+    that it ran are lost, and relying on the older handover would run them a second time. For the
+    same reason a handover counts only while its sender is the latest incarnation of the slot.
     """
 
     __slots__ = ("_slots",)
@@ -51,14 +51,14 @@
         self._slots: dict[Member, _Slot] = {}
 
     def forget_closed(self) -> None:
-        """Forget who closed, as the set of members has changed."""
+        """Drop all closed incarnations, since the set of members has changed."""
         for slot in self._slots.values():
             slot.closed = None
             slot.before = None
             slot.parts = set()
 
-    def hear(self, sender: Member, incarnation: int) -> Closed | None:
-        """Note a request of a slot; return the incarnation right before its own if that closed."""
+    def receive(self, sender: Member, incarnation: int) -> Closed | None:
+        """Note a request from a slot; return its direct predecessor if that one closed."""
         slot = self._slots.get(sender)
         if slot is None:
             self._slots[sender] = _Slot(incarnation)
@@ -74,7 +74,7 @@
         return slot.before
 
     def note(self, handover: Handover, until: float) -> None:
-        """Note one part of a handover; the slot has closed once all parts are here."""
+        """Note one part of a handover; the incarnation has closed once all parts have arrived."""
         slot = self._slots.get(handover.sender)
         if slot is None or slot.incarnation != handover.incarnation:
             return
--- a/carawayhub/agent/fence.py
+++ b/carawayhub/agent/fence.py
@@ -11,7 +11,7 @@
 from carawayhub.agent.begin import Refuse
 from carawayhub.agent.closed import ClosedIncarnations
 from carawayhub.agent.formermembers import FormerMembers
-from carawayhub.agent.grounds import Grounds
+from carawayhub.agent.grounds import StageHistory
 from carawayhub.agent.keyset import KeySet
 from carawayhub.agent.keytiming import KeyTiming
 from carawayhub.agent.ledger import Ledger
@@ -107,7 +107,7 @@
         self._lost_until: float | None = None
         self._retention = 0.0
         self._sequence = 0
-        self._grounds = Grounds(clock, member, scope, timing)
+        self._grounds = StageHistory(clock, member, scope, timing)
         self._version = 0
         self.closing = False
 
@@ -145,10 +145,10 @@
         if home != self._member:
             where = "nowhere" if home is None else f"{home.endpoint} at {home.agent}"
             return Refuse(Code.RUN_HOME_UNREACHABLE, RETRY_AFTER, f"its home is {where}")
-        ground = self._grounds.ground(key)
-        if ground is None:
+        run_from = self._grounds.run_from(key)
+        if run_from is None:
             return self._unfounded()
-        quarantine = ground - self._clock.monotonic()
+        quarantine = run_from - self._clock.monotonic()
         if quarantine > 0:
             return Refuse(Code.RUN_QUARANTINE, quarantine)
         if self.closing:
@@ -159,9 +159,9 @@
         """Say whether the agent is established at its set."""
         self._settle()
         stage = self._grounds.current
-        if stage.ground is None or not self._grounds.confirmed(stage.key_set):
+        if stage.run_from is None or not self._grounds.confirmed(stage.key_set):
             return Missing(self.missing())
-        return Established(max(0.0, stage.ground - self._clock.monotonic()))
+        return Established(max(0.0, stage.run_from - self._clock.monotonic()))
 
     def missing(self) -> tuple[Member, ...]:
         """Return who has neither promised nor is known to be gone."""
@@ -254,7 +254,7 @@
 
     def _promise(self, request: FenceRequest, ledger: Ledger) -> FenceAck:
         now = self._clock.monotonic()
-        closed = self._closed.hear(request.sender, request.incarnation)
+        closed = self._closed.receive(request.sender, request.incarnation)
         wanted = _KeptBy(self.key_set, request.sender)
         self._drop_expired()
         return FenceAck(
@@ -267,7 +267,7 @@
             digest=self.key_set.digest,
             quarantine=self.quarantine(),
             entries=() if request.holds else ledger.export(wanted),
-            formers=self._formers.told(now, self._retention),
+            formers=self._formers.announcements(now, self._retention),
             closed=None if closed is None else closed.incarnation,
             closed_quarantine=0.0 if closed is None else max(0.0, closed.until - now),
             remembers=self._own_quarantine_until() <= now,
@@ -290,7 +290,7 @@
     def _hear(self, ack: FenceAck, sent: float) -> None:
         if ack.remembers:
             self._grounds.confirm(ack.sender, sent)
-        self._promises.hear(ack, sent, self._clock.monotonic())
+        self._promises.receive(ack, sent, self._clock.monotonic())
         self._formers.fence(ack.sender, sent)
 
     def _required(self) -> tuple[Member, ...]:
@@ -304,13 +304,13 @@
         self._drop_expired()
         stage = self._grounds.current
         if self.key_set.seat(self._member) is None or self.missing():
-            stage.ground = None
+            stage.run_from = None
             return
         required = self._required()
         closed_until = self._promises.closed_until(required)
         if closed_until is not None:
             self._lost_until = min(closed_until, self._own_quarantine_until())
-        stage.ground = max(
+        stage.run_from = max(
             [self._own_quarantine_until(), *(self._quarantine_until(peer) for peer in required)]
         )
 
@@ -335,14 +335,14 @@
             return
         now = self._clock.monotonic()
         fenced = None if told.remaining is None else now - self._retention + told.remaining
-        if self._formers.learn(told, fenced) and told.leaving:
+        if self._formers.add(told, fenced) and told.leaving:
             self._gone.setdefault(told.member, now)
 
     def _drop_expired(self) -> None:
         now = self._clock.monotonic()
         self._formers.drop_fenced_before(now - self._retention)
-        ground = self._grounds.current.ground
-        if ground is None or ground > now:
+        run_from = self._grounds.current.run_from
+        if run_from is None or run_from > now:
             return
         for member in self._formers.members:
             if member not in self._promises.made:
--- a/carawayhub/agent/formermembers.py
+++ b/carawayhub/agent/formermembers.py
@@ -1,4 +1,4 @@
-"""Members that left a scope's set while keys that they ran may still be sent again."""
+"""Members that left a scope's key set while callers may still retry keys that they ran."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 
 
 @dataclass(slots=True)
-class Former:
-    """A member of an earlier set.
+class FormerMemberState:
+    """State of a member of an earlier set.
 
     Attributes:
         leaving: Whether it was listed as leaving before.
-        fenced: Reading of its first promise since; none while there is none.
+        fenced: Timestamp of its first promise since then; None before that.
     """
 
     leaving: bool
@@ -25,58 +25,58 @@
     __slots__ = ("_known",)
 
     def __init__(self) -> None:
-        self._known: dict[Member, Former] = {}
+        self._known: dict[Member, FormerMemberState] = {}
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """Their slots, sorted."""
+        """The slots of all former members, sorted."""
         return tuple(sorted(self._known))
 
     def changed(self, old: KeySet, new: KeySet, fenced: dict[Member, float]) -> tuple[Member, ...]:
-        """Follow a change of the set.
+        """Apply a change of the set.
 
         Args:
             old: The set before.
             new: The set from now on.
-            fenced: Readings of the first promises that members gave at the old set.
+            fenced: Timestamps of the first promises that members made under the old set.
 
         Returns:
-            Members that the operators removed after they were listed as leaving.
+            Members that operators removed after they had been listed as leaving.
         """
         removed = [seat for seat in old.seats if new.seat(seat.member) is None]
         for seat in removed:
-            # A promise given while it was leaving covers all keys: it was nobody's home then.
+            # A promise made while it was leaving covers all keys: it was the home of none then.
             promise = fenced.get(seat.member) if seat.leaving else None
-            self._known[seat.member] = Former(seat.leaving, promise)
+            self._known[seat.member] = FormerMemberState(seat.leaving, promise)
         for member in new.members:
             self._known.pop(member, None)
         return tuple(seat.member for seat in removed if seat.leaving)
 
-    def learn(self, told: FormerMember, fenced: float | None) -> bool:
-        """Take in what a peer tells; return whether it is news."""
-        if told.member in self._known:
+    def add(self, reported: FormerMember, fenced: float | None) -> bool:
+        """Add a member reported by a peer; return whether it was unknown before."""
+        if reported.member in self._known:
             return False
-        self._known[told.member] = Former(told.leaving, fenced)
+        self._known[reported.member] = FormerMemberState(reported.leaving, fenced)
         return True
 
     def fence(self, member: Member, reading: float) -> None:
-        """Note a former member's promise; the first one counts."""
+        """Note a former member's promise; only the first one counts."""
         former = self._known.get(member)
         if former is not None and former.fenced is None:
             former.fenced = reading
 
     def drop_fenced_before(self, reading: float) -> None:
-        """Forget those whose last keys have expired since they were fenced."""
+        """Drop the members whose last keys have expired since they were fenced."""
         for member, former in list(self._known.items()):
             if former.fenced is not None and former.fenced <= reading:
                 del self._known[member]
 
     def drop(self, member: Member) -> None:
-        """Forget one."""
+        """Drop a member."""
         self._known.pop(member, None)
 
-    def told(self, now: float, retention: float) -> tuple[FormerMember, ...]:
-        """Return what peers must know."""
+    def announcements(self, now: float, retention: float) -> tuple[FormerMember, ...]:
+        """Return the former members to announce to peers."""
         return tuple(
             FormerMember(
                 member,
--- a/carawayhub/agent/grounds.py
+++ b/carawayhub/agent/grounds.py
@@ -1,4 +1,4 @@
-"""The sets of members that an agent stood at, and what vouches for a key at them."""
+"""The key sets that were in force at an agent, and from when a key may run under them."""
 
 from dataclasses import dataclass
 
@@ -12,25 +12,25 @@
 
 @dataclass(slots=True)
 class Stage:
-    """A set that this agent stands or stood at.
+    """A key set that is or was in force at this agent.
 
     Attributes:
         key_set: The set.
-        ground: Reading from which keys without a record may run; none while not established.
+        run_from: Timestamp from which keys without a record may run; None while not established.
     """
 
     key_set: KeySet
-    ground: float | None = None
+    run_from: float | None = None
 
 
-class Grounds:
+class StageHistory:
     """The stages of one scope at one agent, newest last.
 
     Args:
         clock: The agent's clock.
         member: The agent's slot.
         scope: Service or model.
-        timing: Times of keys.
+        timing: Retention, lease and renewal times of keys.
     """
 
     __slots__ = ("_clock", "_confirmed", "_member", "_stages", "_timing")
@@ -44,36 +44,36 @@
 
     @property
     def current(self) -> Stage:
-        """The stage that the agent stands at."""
+        """The stage in force."""
         return self._stages[-1]
 
     def enter(self, key_set: KeySet) -> None:
-        """Begin a stage; the oldest is forgotten, which only costs keys that did not move."""
+        """Add a stage. The oldest is dropped, which only delays keys that did not move."""
         self._stages = [*self._stages[1 - MAX_STAGES :], Stage(key_set)]
 
     def confirm(self, peer: Member, sent: float) -> None:
-        """Note that a peer stands at this agent's set, as it was asked at reading ``sent``."""
+        """Note that a peer has this agent's set in force, by a request sent at ``sent``."""
         self._confirmed[peer] = max(self._confirmed.get(peer, sent), sent)
 
     def latest(self) -> float | None:
-        """Return the latest ground of all stages."""
-        return max((s.ground for s in self._stages if s.ground is not None), default=None)
+        """Return the latest ``run_from`` of all stages."""
+        return max((s.run_from for s in self._stages if s.run_from is not None), default=None)
 
-    def ground(self, key: RunKey) -> float | None:
-        """Return the reading from which ``key`` may run; none where nothing vouches for it.
+    def run_from(self, key: RunKey) -> float | None:
+        """Return the timestamp from which ``key`` may run, or None if no stage permits it.
 
-        A key whose home was this agent at each set it stood at since an older stage did not move:
-        what was promised at that stage still holds for it. Without this, each change of the set
-        would stop all keys while one member cannot be reached.
+        A key whose home was this agent in each set since an older stage did not move: the promises
+        of that stage are still valid for it. Without this, each change of the set would stop all
+        keys while one member is unreachable.
         """
         now = self._clock.monotonic()
         best: float | None = None
         for stage in reversed(self._stages):
             if stage.key_set.home(key) != self._member:
                 break
-            if stage.ground is None or not self.confirmed(stage.key_set):
+            if stage.run_from is None or not self.confirmed(stage.key_set):
                 continue
-            best = stage.ground if best is None else min(best, stage.ground)
+            best = stage.run_from if best is None else min(best, stage.run_from)
             if best <= now:
                 break
         return best
@@ -81,9 +81,9 @@
     def confirmed(self, key_set: KeySet) -> bool:
         """Return whether a majority of the set's homes confirmed this agent within the lease.
 
-        It guards against an agent that lives on with an old configuration while the platform's
-        list calls its VM gone: its peers have moved on and confirm it no more, so it stops by its
-        own clock before those that replaced it end their quarantine.
+        Guards against an agent that keeps running with an old configuration while the platform's
+        list reports its VM as gone. Its peers have a newer set and no longer confirm it, so it
+        stops by its own clock before the agents that replaced it end their quarantine.
         """
         oldest = self._clock.monotonic() - self._timing.lease(key_set.key_ttl)
         homes = [seat.member for seat in key_set.seats if not seat.leaving]
--- a/carawayhub/agent/handover.py
+++ b/carawayhub/agent/handover.py
@@ -1,8 +1,9 @@
-"""A planned stop: the whole ledger goes to the peers before the agent ends.
+"""A planned stop: the complete ledger is sent to the peers before the agent ends.
 
-Order of a stop: ``Homes.close`` (no new key begins), wait until ``Ledger.running`` is 0, send what
-``Departure.pending`` returns until ``finished`` or the bound of the stop, then close the listening
-socket last. While that socket is open no other incarnation can start at the address.
+Sequence of a stop: call ``Homes.close`` (no new key starts), wait until ``Ledger.running`` is 0,
+send the parts that ``PendingHandover.pending`` returns until ``finished`` or the time limit of the
+stop, then close the listening socket. While that socket is open, no other incarnation can start at
+the address.
 """
 
 from collections.abc import Iterator
@@ -21,16 +22,16 @@
 ENTRY_OVERHEAD = 200
 
 
-class Departure:
-    """What an agent that stops still has to hand over.
+class PendingHandover:
+    """The parts of its ledger that a stopping agent still has to hand over.
 
-    Each entry goes to its key's home; where that is the agent itself, to the agent that would be
+    Each entry is sent to its key's home or, if that is the agent itself, to the agent that would be
     the home without it. Every peer gets at least one part, even an empty one: all of them must know
-    that this incarnation closed before the next one may go without a quarantine.
+    that this incarnation closed before the next one may skip its quarantine.
 
     Args:
-        homes: The agent's keys; closed before.
-        ledger: The agent's ledger; nothing runs in it any more.
+        homes: The agent's homes, already closed.
+        ledger: The agent's ledger, with no running requests.
     """
 
     __slots__ = ("_pending",)
@@ -43,15 +44,17 @@
 
     @property
     def finished(self) -> bool:
-        """Whether every part was taken."""
+        """Whether every part was accepted."""
         return not self._pending
 
     def pending(self) -> tuple[tuple[Member, Handover], ...]:
-        """Return the parts not taken yet, with their receivers."""
-        return tuple((key[0], handover) for key, handover in sorted(self._pending.items(), key=_of))
+        """Return the parts that are not accepted yet, with their receivers."""
+        return tuple(
+            (key[0], handover) for key, handover in sorted(self._pending.items(), key=_key_of)
+        )
 
-    def taken(self, reply: HandoverTaken) -> None:
-        """Note that a receiver has one part."""
+    def mark_accepted(self, reply: HandoverTaken) -> None:
+        """Note that a receiver accepted one part."""
         self._pending.pop((reply.receiver, reply.scope, reply.part), None)
 
     def _add(self, homes: Homes, scope: str, receiver: Member, entries: list[LedgerEntry]) -> None:
@@ -69,7 +72,7 @@
             )
 
 
-def _of(item: tuple[tuple[Member, str, int], Handover]) -> tuple[Member, str, int]:
+def _key_of(item: tuple[tuple[Member, str, int], Handover]) -> tuple[Member, str, int]:
     return item[0]
 
 
--- a/carawayhub/agent/homes.py
+++ b/carawayhub/agent/homes.py
@@ -1,8 +1,8 @@
-"""All scopes' fences at one agent: which idempotency keys it may run.
+"""The fences of all scopes at one agent, which decide the idempotency keys it may run.
 
-The lead-in for the process around it: call ``configure`` for each accepted configuration, send what
-``requests`` returns to its member at each renewal (and each second while ``status`` is Missing),
-answer incoming requests with ``answer`` and pass replies to ``take``.
+Usage: call ``configure`` for each accepted configuration, send each request that ``requests``
+returns to its member at each renewal (and each second while ``status`` is Missing), answer incoming
+requests with ``answer`` and pass replies to ``take``.
 """
 
 from collections.abc import Iterable
@@ -35,7 +35,7 @@
         clock: The agent's clock.
         member: The agent's slot.
         incarnation: Random number that the agent drew when it started.
-        timing: Times of keys.
+        timing: Retention, lease and renewal times of keys.
     """
 
     __slots__ = (
@@ -68,11 +68,11 @@
         self.member = member
 
     def configure(self, cfg: Configuration) -> None:
-        """Stand at an accepted configuration; an older one than before is passed over."""
+        """Apply an accepted configuration; one older than the current version is ignored."""
         self.adopt(self._sets.of(cfg), cfg.version)
 
     def adopt(self, sets: dict[str, KeySet], version: int) -> None:
-        """Stand at the sets of configuration ``version``."""
+        """Apply the key sets of configuration ``version``."""
         if version < self._version:
             return
         self._version = version
@@ -85,29 +85,33 @@
         return None if fence is None else fence.key_set.home(key)
 
     def admit(self, key: RunKey) -> Refuse | None:
-        """Return why a key without a record may not be run here, none where it may.
+        """Return why a key without a record may not run here, or None if it may.
 
-        The answer holds for this instant: hand it to ``Ledger.begin`` with no wait in between, or
-        the key may have moved before its record stands.
+        The result is valid only now: pass it to ``Ledger.begin`` with no ``await`` in between, or
+        the key may have moved before its record exists.
         """
         fence = self._fences.get(key.scope)
         if fence is None:
-            return Refuse(Code.RUN_HOME_UNREACHABLE, RETRY_AFTER, f"{key.scope} is not known here")
+            return Refuse(
+                Code.RUN_HOME_UNREACHABLE,
+                RETRY_AFTER,
+                f"the agent has no configuration of {key.scope}",
+            )
         return fence.admit(key)
 
     def key_ttl(self, scope: str) -> float:
-        """Return the seconds for which a caller may send a key of ``scope`` again."""
+        """Return the seconds for which a caller may retry a key of ``scope``."""
         return self._fences[scope].key_set.key_ttl
 
     def keep_until(self, key: RunKey) -> float:
-        """Return the reading until which ``key`` is remembered if it is begun now."""
+        """Return the timestamp until which the record of ``key`` is kept if it starts now."""
         fence = self._fences.get(key.scope)
         return self._clock.monotonic() + (0.0 if fence is None else fence.retention)
 
     def sendable(self, scope: str, remaining: float) -> float:
-        """Return for how long a caller may still send a key that is remembered for ``remaining``.
+        """Return for how long a caller may still send a key whose record is kept for ``remaining``.
 
-        Both are in seconds; the difference covers late requests and the rates of clocks.
+        Both are in seconds; the difference covers delayed requests and clock drift.
         """
         key_set = self._fences[scope].key_set
         margin = self._timing.retention(key_set.key_ttl) - key_set.key_ttl
@@ -118,20 +122,20 @@
         return self._timing.renewal(self._fences[scope].key_set.key_ttl)
 
     def scopes(self) -> tuple[str, ...]:
-        """Return the scopes whose set this agent belongs to."""
+        """Return the scopes whose key set contains this agent."""
         fences = self._fences.items()
         return tuple(sorted(name for name, one in fences if one.key_set.seat(self.member)))
 
     def key_set(self, scope: str) -> KeySet:
-        """Return the set of ``scope`` that this agent stands at."""
+        """Return the key set of ``scope`` that is in force at this agent."""
         return self._fences[scope].key_set
 
     def status(self, scope: str) -> Established | Missing:
-        """Say whether this agent is established for ``scope``."""
+        """Return whether this agent is established for ``scope``."""
         return self._fences[scope].status()
 
     def quarantine(self, scope: str) -> float:
-        """Return the seconds for which keys that this agent has no entry of may have run."""
+        """Return the seconds for which keys without an entry at this agent may have run."""
         return self._fences[scope].quarantine()
 
     def requests(self, scope: str) -> Requests:
@@ -143,18 +147,18 @@
         return self._fence(request.scope).answer(request, ledger)
 
     def take(self, reply: FenceReply, ledger: Ledger) -> bool:
-        """Take in a peer's reply; return whether it was a promise that counts."""
+        """Apply a peer's reply; return whether it was a valid promise."""
         return self._fence(reply.scope).take(reply, ledger)
 
     def take_handover(self, handover: Handover, ledger: Ledger) -> HandoverTaken:
-        """Take over a part of the ledger of an agent that stops.
+        """Merge a part of the ledger of an agent that stops.
 
         Raises:
-            PeerError: PEER_SILENT where this agent is stopping as well: what it took now would
-                end with it. The sender keeps asking, and gives up at its own bound.
+            PeerError: PEER_SILENT if this agent is stopping as well: entries that it accepted now
+                would be lost with it. The sender retries until its own time limit.
         """
         if self._closing:
-            raise PeerError(Code.PEER_SILENT, f"{self.member.endpoint} is stopping as well")
+            raise PeerError(Code.PEER_SILENT, f"{self.member.endpoint} is also stopping")
         ledger.merge(handover.entries)
         self._fence(handover.scope).take_handover(handover)
         return HandoverTaken(
@@ -165,7 +169,7 @@
         )
 
     def note_gone(self, vms: Iterable[str]) -> None:
-        """Take in that the platform's list says that VMs are gone; see ``VmWatch``."""
+        """Note VMs that the platform's list reports as gone; see ``VmWatch``."""
         gone = set(vms)
         for fence in self._fences.values():
             for member in {*fence.key_set.members, *fence.missing()}:
@@ -173,7 +177,7 @@
                     fence.note_gone(member)
 
     def close(self) -> None:
-        """Begin no key that has no record from here on, since this agent stops."""
+        """Stop starting keys that have no record, since this agent stops."""
         self._closing = True
         for fence in self._fences.values():
             fence.closing = True
--- a/carawayhub/agent/keys.py
+++ b/carawayhub/agent/keys.py
@@ -9,7 +9,7 @@
 from carawayhub.addresses import Address
 from carawayhub.agent.begin import Refuse
 from carawayhub.agent.fence import Missing
-from carawayhub.agent.handover import Departure
+from carawayhub.agent.handover import PendingHandover
 from carawayhub.agent.homes import Homes
 from carawayhub.agent.ledger import Ledger
 from carawayhub.agent.messages import (
@@ -136,14 +136,14 @@
         Args:
             until: Timestamp at which the attempt ends.
         """
-        departure = Departure(self._homes, self._ledger)
-        while not departure.finished and self._clock.monotonic() < until:
+        pending_handover = PendingHandover(self._homes, self._ledger)
+        while not pending_handover.finished and self._clock.monotonic() < until:
             async with anyio.create_task_group() as tasks:
-                for receiver, part in departure.pending():
-                    tasks.start_soon(self._send_part, departure, receiver, part)
-            if not departure.finished:
+                for receiver, part in pending_handover.pending():
+                    tasks.start_soon(self._send_part, pending_handover, receiver, part)
+            if not pending_handover.finished:
                 await anyio.sleep(HANDOVER_RETRY_INTERVAL)
-        return departure.finished
+        return pending_handover.finished
 
     def close(self) -> None:
         """Stop starting keys that have no record."""
@@ -160,10 +160,12 @@
         if reply is not None:
             self._homes.take(reply, self._ledger)
 
-    async def _send_part(self, departure: Departure, receiver: Member, part: Handover) -> None:
+    async def _send_part(
+        self, pending_handover: PendingHandover, receiver: Member, part: Handover
+    ) -> None:
         reply = await self._call(receiver, HANDOVER, part)
         if reply is not None:
-            departure.taken(reply)
+            pending_handover.mark_accepted(reply)
 
     async def _call(self, member: Member, method: Method, message: FenceRequest | Handover) -> Any:
         try:
--- a/carawayhub/agent/keyset.py
+++ b/carawayhub/agent/keyset.py
@@ -1,7 +1,7 @@
-"""Which agents keep the idempotency keys of a service or model, by the configuration alone.
+"""Determines the agents that keep the idempotency keys of a service or model.
 
-The home of a key is worked out from configured endpoints and never from which of them seem alive:
-two processes with different views of the fleet would otherwise send one key to two agents.
+The home of a key depends on the configured endpoints alone, never on which of them seem alive: two
+processes with different views of the fleet would otherwise send one key to two agents.
 """
 
 import hashlib
@@ -15,12 +15,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Seat:
-    """One member of a set.
+    """A member of a key set, with its settings from the configuration.
 
     Attributes:
         member: Slot of the agent.
         leaving: Whether the configuration lists its endpoint as leaving.
-        organisations: Whose keys it may keep; empty for all.
+        organisations: Organisations whose keys it may keep; empty for all.
     """
 
     member: Member
@@ -40,10 +40,11 @@
 
     Attributes:
         scope: Service or model.
-        seats: Its members, sorted; none where the configuration does not know the scope.
-        key_ttl: Seconds after its first sending for which a caller may send a key again.
-        quarantine: Whether an agent that has just started distrusts keys it has not seen.
-        digest: Digest of all of this; two agents with one digest agree on every key's home.
+        seats: Its members, sorted; empty if the configuration does not define the scope.
+        key_ttl: Seconds after the first attempt during which a caller may retry a key.
+        quarantine: Whether an agent that has just started rejects keys without a record for a time.
+        digest: Digest of all other fields; two agents with the same digest agree on the home of
+            every key.
     """
 
     scope: str
@@ -58,11 +59,11 @@
         return tuple(seat.member for seat in self.seats)
 
     def seat(self, member: Member) -> Seat | None:
-        """Return the seat of ``member``, none where it has none."""
+        """Return the seat of ``member``, or None if it is not in the set."""
         return next((seat for seat in self.seats if seat.member == member), None)
 
     def home(self, key: RunKey) -> Member | None:
-        """Return the agent that keeps ``key``, none where no member may."""
+        """Return the agent that keeps ``key``, or None if no member may."""
         return self.home_without(key, None)
 
     def home_without(self, key: RunKey, absent: Member | None) -> Member | None:
@@ -77,15 +78,15 @@
 def key_set(
     scope: str, seats: tuple[Seat, ...], key_ttl: float = 600.0, quarantine: bool = True
 ) -> KeySet:
-    """Return a set with its digest."""
+    """Return a key set with its digest."""
     ordered = tuple(sorted(seats, key=lambda seat: seat.member))
-    text = repr((scope, [_plain(seat) for seat in ordered], key_ttl, quarantine))
+    text = repr((scope, [_as_tuple(seat) for seat in ordered], key_ttl, quarantine))
     digest = hashlib.sha256(text.encode()).hexdigest()[:32]
     return KeySet(scope, ordered, key_ttl, quarantine, digest)
 
 
 def key_sets(cfg: Configuration) -> dict[str, KeySet]:
-    """Return the sets of all services and models that ``cfg`` knows, by scope."""
+    """Return the key sets of all services and models in ``cfg``, by scope."""
     sets = [_service_set(cfg, name) for name in cfg.services]
     models = sorted({group.model for group in cfg.groups.values()})
     sets.extend(_model_set(cfg, model) for model in models)
@@ -93,10 +94,11 @@
 
 
 class KeySets:
-    """The sets of the configuration in force, worked out anew only when they may have changed.
+    """Cache of the key sets of the configuration in force.
 
-    At 5,400 endpoints that takes longer than checking the version itself, and most versions change
-    no member of a set: they change capacities, limits and shares.
+    The sets are recomputed only if they may have changed. At 5,400 endpoints the computation takes
+    longer than checking the version itself, and most versions change only capacities, limits and
+    shares, not the members of a set.
     """
 
     __slots__ = ("_cfg", "_sets")
@@ -106,15 +108,15 @@
         self._sets: dict[str, KeySet] = {}
 
     def of(self, cfg: Configuration) -> dict[str, KeySet]:
-        """Return the same as ``key_sets``; the caller must not change it."""
-        if self._cfg is None or not _same_seats(self._cfg, cfg):
+        """Return the result of ``key_sets``; the caller must not modify it."""
+        if self._cfg is None or not _has_same_seats(self._cfg, cfg):
             self._sets = key_sets(cfg)
         self._cfg = cfg
         return self._sets
 
 
-def _same_seats(old: Configuration, new: Configuration) -> bool:
-    """Return whether all that ``key_sets`` reads is alike; objects that were kept are so."""
+def _has_same_seats(old: Configuration, new: Configuration) -> bool:
+    """Return whether all inputs of ``key_sets`` are equal; identical objects always are."""
     if old.fleet.key_ttl != new.fleet.key_ttl:
         return False
     if old.groups != new.groups or old.services != new.services:
@@ -122,14 +124,14 @@
     if old.endpoints.keys() != new.endpoints.keys():
         return False
     return all(
-        before is after or _place(before) == _place(after)
+        before is after or _location(before) == _location(after)
         for before, after in zip(
             old.endpoints.values(), map(new.endpoints.__getitem__, old.endpoints), strict=True
         )
     )
 
 
-def _place(endpoint: Endpoint) -> tuple[str, str, bool]:
+def _location(endpoint: Endpoint) -> tuple[str, str, bool]:
     return endpoint.agent, endpoint.vm, endpoint.state is EndpointState.LEAVING
 
 
@@ -146,8 +148,8 @@
 def unsafe_removals(old: Configuration, new: Configuration) -> tuple[tuple[str, Member], ...]:
     """Return members that ``new`` drops although ``old`` does not list them as leaving.
 
-    Such an agent may still run keys until it has heard of the change itself, and an agent that
-    starts afterwards may never learn of it.
+    Such an agent may still run keys until it receives the change itself, and an agent that starts
+    afterwards may never receive any information about it.
     """
     after = key_sets(new)
     return tuple(
@@ -180,7 +182,7 @@
     return Seat(member, endpoint.state is EndpointState.LEAVING, organisations)
 
 
-def _plain(seat: Seat) -> tuple[str, str, str, bool, tuple[str, ...]]:
+def _as_tuple(seat: Seat) -> tuple[str, str, str, bool, tuple[str, ...]]:
     member = seat.member
     return (member.endpoint, member.agent, member.vm, seat.leaving, seat.organisations)
 
--- a/carawayhub/agent/keytiming.py
+++ b/carawayhub/agent/keytiming.py
@@ -1,13 +1,13 @@
-"""How long keys are remembered, distrusted and confirmed."""
+"""Retention, quarantine and lease times of idempotency keys."""
 
 from dataclasses import dataclass
 
 RATE_BOUND = 1.03
-"""Each clock runs within 1% of true time; two of them differ by less than this factor."""
+"""Each clock rate is within 1% of true time; two clocks differ by less than this factor."""
 
 LATE_ARRIVAL = 45.0
 """Default of ``KeyTiming.late_arrival``: 30 s that an entry leaves an idle connection open, 10 s
-for which the stamp of a request is good, and 5 s of pause that an entry does not notice."""
+for which the stamp of a request is valid, and 5 s of pause that an entry does not detect."""
 
 LEASE_SHARE = 0.5
 RENEWALS = 3
@@ -15,22 +15,22 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class KeyTiming:
-    """Times of idempotency keys, worked out from the ``key_ttl`` that is promised to callers.
+    """Times of idempotency keys, derived from the ``key_ttl`` that callers rely on.
 
     Attributes:
         late_arrival: Seconds that a request may spend between its caller and the agent.
-        lease_share: Part of a key's life for which a peer's confirmation is good.
+        lease_share: Fraction of ``key_ttl`` for which a peer's confirmation is valid.
     """
 
     late_arrival: float = LATE_ARRIVAL
     lease_share: float = LEASE_SHARE
 
     def retention(self, key_ttl: float) -> float:
-        """Return for how long a key is remembered, in seconds of this agent's clock."""
+        """Return how long the record of a key is kept, in seconds of this agent's clock."""
         return (key_ttl + self.late_arrival) * RATE_BOUND
 
     def lease(self, key_ttl: float) -> float:
-        """Return for how long new keys are run after a majority last confirmed this agent."""
+        """Return how long new keys may start after a majority last confirmed this agent."""
         return key_ttl * self.lease_share
 
     def renewal(self, key_ttl: float) -> float:
@@ -38,9 +38,9 @@
         return self.lease(key_ttl) / RENEWALS
 
     def gone_quarantine(self, key_ttl: float, retention: float) -> float:
-        """Return how long the keys of a member that is only presumed gone are distrusted.
+        """Return the quarantine of the keys of a member that is only presumed gone.
 
-        Its peers confirm it no more, so it begins no key once its lease is over; from then on its
-        last keys expire as any others do.
+        Its peers no longer confirm it, so it starts no key once its lease has expired; from then on
+        its last keys expire like any others.
         """
         return (self.lease(key_ttl) + retention) * RATE_BOUND
--- a/carawayhub/agent/ledger.py
+++ b/carawayhub/agent/ledger.py
@@ -44,7 +44,7 @@
     Running,
     State,
     answer_bytes,
-    join,
+    merge_states,
     without_own,
     without_run,
 )
@@ -323,7 +323,7 @@
         if isinstance(record.state, Running) and not isinstance(state, RunsElsewhere):
             self.conflicts += 1
         record.deadline = max(record.deadline, deadline)
-        joined = join(record.state, state)
-        if joined is state:
-            joined = self._limit_answer_size(state)
-        self._set_state(record, joined)
+        merged = merge_states(record.state, state)
+        if merged is state:
+            merged = self._limit_answer_size(state)
+        self._set_state(record, merged)
--- a/carawayhub/agent/messages.py
+++ b/carawayhub/agent/messages.py
@@ -1,7 +1,7 @@
-"""What agents tell each other of run-once requests: entries, fences, lookups and handovers.
+"""Messages between agents about run-once requests: entries, fences, lookups and handovers.
 
-Remaining times cross the wire, never clock readings. Every class is a tagged ``msgspec`` struct, so
-that unions of them decode without a type field of our own.
+The messages carry remaining times, never clock timestamps. The members of each union are tagged
+``msgspec`` structs, so that the union decodes without a type field of its own.
 """
 
 import msgspec
@@ -24,13 +24,13 @@
 
 
 class RunKey(msgspec.Struct, frozen=True, order=True):
-    """Names one run-once request.
+    """Identifies one run-once request.
 
     Attributes:
-        scope: Service or model, as ``service_scope`` or ``model_scope`` writes it.
-        organisation: Who sent it; keys of two organisations never meet.
+        scope: Service or model, as ``service_scope`` or ``model_scope`` returns it.
+        organisation: Organisation that sent it; equal keys of two organisations are distinct.
         key: The idempotency key, or the nonce of a ticket.
-        ticket: Whether it came with a ticket.
+        ticket: Whether the request carries a ticket.
     """
 
     scope: str
@@ -40,12 +40,12 @@
 
 
 class RunId(msgspec.Struct, frozen=True, order=True):
-    """One try to run a request; never used again.
+    """Identifies one attempt to run a request; never reused.
 
     Attributes:
-        member: Slot of the agent that made the try.
+        member: Slot of the agent that made the attempt.
         incarnation: Random number that the agent drew when it started.
-        number: Count of its tries.
+        number: Number of the attempt at that incarnation.
     """
 
     member: Member
@@ -54,12 +54,12 @@
 
 
 class Answer(msgspec.Struct, frozen=True, tag=True):
-    """The endpoint's whole answer.
+    """The endpoint's complete answer.
 
     Attributes:
         status: HTTP status.
         headers: Headers.
-        body: Whole body.
+        body: Complete body.
     """
 
     status: int
@@ -68,7 +68,7 @@
 
 
 class AnswerNotKept(msgspec.Struct, frozen=True, tag=True):
-    """The request ran to its end, and its answer was too large to keep.
+    """The request completed, but its answer was too large to keep.
 
     Attributes:
         status: HTTP status.
@@ -78,30 +78,30 @@
 
 
 class OutcomeUnknown(msgspec.Struct, frozen=True, tag=True):
-    """Bytes of the request were sent and no whole answer came back; never run again.
+    """Bytes of the request were sent and no complete answer was received; never run again.
 
     Attributes:
-        code: Number of the result that says why.
+        code: Number of the result code with the reason.
     """
 
     code: int
 
 
 class NotRun(msgspec.Struct, frozen=True, tag=True):
-    """No byte of the request reached the endpoint; it may be run under the same key.
+    """No byte of the request reached the endpoint; it may run under the same key.
 
     Attributes:
-        code: Number of the result that says why.
+        code: Number of the result code with the reason.
     """
 
     code: int
 
 
 class RunsElsewhere(msgspec.Struct, frozen=True, tag=True):
-    """Other agents began the request and have not said how it ended.
+    """Other agents started the request and have not reported its outcome.
 
     Attributes:
-        runs: Their tries, sorted.
+        runs: Their attempts, sorted.
     """
 
     runs: tuple[RunId, ...]
@@ -112,13 +112,13 @@
 
 
 class LedgerEntry(msgspec.Struct, frozen=True):
-    """What one agent knows of one key, on its way to another.
+    """The record of one key at one agent, as sent to another agent.
 
     Attributes:
         key: The request.
         body_digest: SHA-256 of method, path and body.
-        remaining: Seconds for which it must still be remembered.
-        state: What became of it.
+        remaining: Seconds for which the record must still be kept.
+        state: State of the request.
     """
 
     key: RunKey
@@ -128,20 +128,20 @@
 
 
 class LookUp(msgspec.Struct, frozen=True):
-    """Asks the agent that made a try how it ended."""
+    """Asks the agent that made an attempt for its outcome."""
 
     key: RunKey
     run: RunId
 
 
 class LookUpReply(msgspec.Struct, frozen=True):
-    """Says how a try ended.
+    """Reports the outcome of an attempt.
 
     Attributes:
         key: The request.
-        run: The try that was asked for.
-        not_run: Whether that try ended without a byte sent.
-        entry: What is known of the key now; none where it is not known any more.
+        run: The attempt that was asked for.
+        not_run: Whether that attempt ended without a byte sent.
+        entry: Current entry of the key; None if the agent has none, or none any more.
     """
 
     key: RunKey
@@ -151,16 +151,16 @@
 
 
 class FenceRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks a peer to stand at the sender's set of members or a newer configuration.
+    """Asks a peer to apply the sender's set of members or a newer configuration.
 
     Attributes:
         scope: Service or model.
         sender: Slot of the sender.
-        incarnation: The sender's.
+        incarnation: Incarnation of the sender.
         sequence: Number of this request at the sender; the reply repeats it.
         version: Configuration version in force at the sender.
         digest: Digest of the sender's set of members.
-        holds: Whether the sender has the peer's entries for this set already.
+        holds: Whether the sender already has the peer's entries for this set.
     """
 
     scope: str
@@ -178,7 +178,7 @@
     Attributes:
         member: Its slot.
         leaving: Whether it was listed as leaving before it left the set.
-        remaining: Seconds until its keys have expired; none while it is not known to be fenced.
+        remaining: Seconds until its keys have expired; None while it is not known to be fenced.
     """
 
     member: Member
@@ -187,25 +187,25 @@
 
 
 class FenceAck(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Promises that the sender runs no key of the asker from here on, in this set.
+    """Promises that the sender runs no key of the asker from now on, under this set.
 
     Attributes:
         scope: Service or model.
-        sender: Slot of the one who promises.
-        incarnation: Its incarnation.
-        asker: Incarnation of the one that asked.
-        sequence: The request's.
+        sender: Slot of the agent that promises.
+        incarnation: Incarnation of the sender.
+        asker: Incarnation of the agent that asked.
+        sequence: Sequence number of the request.
         version: Configuration version in force at the sender.
         digest: Digest of the set, equal to the request's.
         quarantine: Seconds for which keys that the sender has no entry of may have run.
-        entries: Entries whose home is the asker; empty where the asker holds them.
-        formers: Members that the asker must hear as well.
-        closed: Incarnation of the asker's slot that handed its whole ledger over before it
-            stopped; none where that is not known.
+        entries: Entries whose home is the asker; empty if the asker already has them.
+        formers: Former members whose promise the asker needs as well.
+        closed: Incarnation of the asker's slot that handed over its complete ledger before it
+            stopped; None if unknown.
         closed_quarantine: Quarantine of that incarnation, in seconds.
-        remembers: Whether the sender has lost no memory of what it promised before.
-        gone: Members whose VM the platform's list called gone and that the sender has not heard
-            from since; an agent that started later never saw them listed.
+        remembers: Whether the sender has lost none of its earlier promises.
+        gone: Members whose VM the platform's list reported as gone and from which the sender has
+            received nothing since; an agent that started later never saw them listed.
     """
 
     scope: str
@@ -225,14 +225,15 @@
 
 
 class FenceRefusal(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Promises nothing: the two stand at different sets of members.
+    """Rejects a request for a promise: the two agents have different sets of members.
 
     Attributes:
         scope: Service or model.
-        sender: Slot of the one who refuses.
-        asker: Incarnation of the one that asked.
-        sequence: The request's.
-        version: Configuration version in force at the sender; the older of the two must catch up.
+        sender: Slot of the agent that rejects the request.
+        asker: Incarnation of the agent that asked.
+        sequence: Sequence number of the request.
+        version: Configuration version in force at the sender; the agent with the older version
+            must update.
     """
 
     scope: str
@@ -246,17 +247,17 @@
 
 
 class Handover(msgspec.Struct, frozen=True, kw_only=True):
-    """Entries pushed by an agent that stops; its last message for a scope.
+    """Entries sent by an agent that stops; its last message for a scope.
 
     Attributes:
         scope: Service or model.
         sender: Slot of the agent that stops.
-        incarnation: Its incarnation.
+        incarnation: Incarnation of the sender.
         digest: Digest of its set of members.
-        quarantine: Seconds for which keys that it has no entry of may have run.
+        quarantine: Seconds for which keys without an entry at the sender may have run.
         entries: The part of its ledger that the receiver keeps from now on.
         part: Number of this part, from 0.
-        parts: Parts in all to this receiver.
+        parts: Total number of parts for this receiver.
     """
 
     scope: str
@@ -270,11 +271,11 @@
 
 
 class HandoverTaken(msgspec.Struct, frozen=True, kw_only=True):
-    """Says that one part of a handover is in the receiver's ledger.
+    """Confirms that one part of a handover is in the receiver's ledger.
 
     Attributes:
         scope: Service or model.
-        receiver: Slot of the one that took it.
+        receiver: Slot of the agent that accepted it.
         incarnation: Incarnation of the agent that stops.
         part: Number of the part.
     """
--- a/carawayhub/agent/promises.py
+++ b/carawayhub/agent/promises.py
@@ -1,4 +1,4 @@
-"""Requests that an agent has sent for promises, and the promises that came back."""
+"""Requests for promises that an agent has sent, and the promises it received."""
 
 from dataclasses import dataclass
 
@@ -9,14 +9,14 @@
 
 @dataclass(slots=True)
 class Promise:
-    """A peer's promise at the present set.
+    """A peer's promise under the current set.
 
     Attributes:
-        first: Reading at which the first request that it answered was sent.
-        incarnation: The peer's.
-        quarantine_until: Reading until which the peer's lost memory matters.
-        closed: Incarnation of this slot that handed its ledger to the peer, none for unknown.
-        closed_until: Reading until which the quarantine of that incarnation lasts.
+        first: Timestamp at which the first request that it answered was sent.
+        incarnation: Incarnation of the peer.
+        quarantine_until: Timestamp until which keys that the peer has no entry of may have run.
+        closed: Incarnation of this slot that handed its ledger to the peer, None if unknown.
+        closed_until: Timestamp at which the quarantine of that incarnation ends.
     """
 
     first: float
@@ -27,51 +27,51 @@
 
 
 class Promises:
-    """The requests and promises of one stage; a new one is made for each stage."""
+    """The requests and promises of one stage; each stage has its own instance."""
 
-    __slots__ = ("_asked", "_pending", "made")
+    __slots__ = ("_last_asked", "_pending", "made")
 
     def __init__(self) -> None:
-        self._asked: dict[Member, float] = {}
+        self._last_asked: dict[Member, float] = {}
         self._pending: dict[Member, dict[int, float]] = {}
         self.made: dict[Member, Promise] = {}
 
     def ask(self, peer: Member, sequence: int, now: float) -> None:
         """Note that request ``sequence`` is sent to a peer."""
         sent = self._pending.setdefault(peer, {})
-        self._asked[peer] = sent[sequence] = now
+        self._last_asked[peer] = sent[sequence] = now
         if len(sent) > MAX_PENDING:
             del sent[min(sent)]
 
     def sent(self, peer: Member, sequence: int) -> float | None:
-        """Return when the request that a reply answers was sent, none where none waits for it."""
+        """Return when the request of a reply was sent, or None if no such request is pending."""
         return self._pending.get(peer, {}).pop(sequence, None)
 
     def due(self, peer: Member, oldest: float) -> bool:
-        """Return whether to ask a peer, one that has promised only if last before ``oldest``."""
-        return peer not in self.made or self._asked.get(peer, oldest) <= oldest
+        """Return whether to ask a peer; after a promise, only if last asked by ``oldest``."""
+        return peer not in self.made or self._last_asked.get(peer, oldest) <= oldest
 
-    def hear(self, ack: FenceAck, sent: float, now: float) -> None:
-        """Take in a promise."""
+    def receive(self, ack: FenceAck, sent: float, now: float) -> None:
+        """Record a received promise."""
         until = now + ack.quarantine
         made = self.made.get(ack.sender)
         if made is None:
             closed_until = now + ack.closed_quarantine
             made = Promise(sent, ack.incarnation, until, ack.closed, closed_until)
             self.made[ack.sender] = made
-        # The first incarnation's promise stands after its end: a later one asks this agent first.
+        # The promise stays valid after its incarnation ends: a later one asks this agent first.
         if made.incarnation == ack.incarnation:
             made.quarantine_until = min(made.quarantine_until, until)
 
     def last(self) -> float:
-        """Return the latest reading at which a first request was sent, 0 for none."""
+        """Return the latest timestamp of a first request that was answered, 0 for none."""
         return max((promise.first for promise in self.made.values()), default=0.0)
 
     def closed_until(self, required: tuple[Member, ...]) -> float | None:
         """Return the end of the predecessor's quarantine, if all of ``required`` hold its ledger.
 
-        An incarnation in between, which crashed, would have asked each of these peers before it
-        ran anything, and they would not name the older one any more.
+        An incarnation in between that crashed would have asked each of these peers before it ran
+        anything, and they would no longer report the older one.
         """
         known = [self.made[peer] for peer in required if peer in self.made]
         if not known or len(known) < len(required):
--- a/carawayhub/agent/record.py
+++ b/carawayhub/agent/record.py
@@ -1,4 +1,4 @@
-"""What a ledger holds for one key, and how two agents' knowledge of it is joined."""
+"""The record of one key in a ledger, and the merging of two agents' states of it."""
 
 from dataclasses import dataclass
 
@@ -19,14 +19,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Running:
-    """A try runs here."""
+    """An attempt runs here."""
 
     run: RunId
 
 
 @dataclass(slots=True, frozen=True)
 class Idle:
-    """Every try so far ended with nothing sent; the next one may run."""
+    """Every attempt so far ended with nothing sent; the next one may run."""
 
 
 IDLE = Idle()
@@ -36,15 +36,15 @@
 
 @dataclass(slots=True)
 class Record:
-    """One key.
+    """The record of one key.
 
     Attributes:
         body_digest: SHA-256 of method, path and body.
-        deadline: Reading of the clock until which it is remembered.
-        state: What became of the request.
-        first: Number of the first try of this agent that this record could cover.
-        unsent: Number of the last try of this agent that ended with nothing sent, 0 for none.
-        done: Set when the running try ends; made only where somebody waits.
+        deadline: Timestamp until which the record is kept.
+        state: State of the request.
+        first: Number of the first attempt of this agent that this record could cover.
+        unsent: Number of the last attempt of this agent that ended with nothing sent, 0 for none.
+        done: Set when the running attempt ends; created only if a task waits for it.
     """
 
     body_digest: bytes
@@ -55,10 +55,10 @@
     done: anyio.Event | None = None
 
     def ended_unsent(self, number: int) -> bool:
-        """Return whether try ``number`` of this agent is known to have sent nothing.
+        """Return whether attempt ``number`` of this agent is known to have sent nothing.
 
-        A try from before this record is not known: an earlier record of the key may have held its
-        answer until it expired.
+        An attempt from before this record is unknown: an earlier record of the key may have held
+        its answer until it expired.
         """
         return self.first <= number <= self.unsent
 
@@ -71,19 +71,19 @@
     return ANSWER_BYTES + len(state.body) + headers
 
 
-def join(mine: State, theirs: EntryState) -> State:
-    """Return what is known of a key once another agent's knowledge is added.
+def merge_states(mine: State, theirs: EntryState) -> State:
+    """Return the state of a key after merging the state reported by another agent.
 
-    Nothing that says "may have run" is ever lost by it, in whatever order messages come: two tries
-    elsewhere are both kept, since a late message may tell of the older one.
+    A state that means "may have run" is never lost, in whatever order messages arrive: two attempts
+    elsewhere are both kept, since a late message may report the older one.
     """
     match mine, theirs:
         case (Running(), _):
             return mine
         case (Idle(), _):
             return theirs
-        case (RunsElsewhere(runs=known), RunsElsewhere(runs=told)):
-            return RunsElsewhere(tuple(sorted({*known, *told})))
+        case (RunsElsewhere(runs=known), RunsElsewhere(runs=reported)):
+            return RunsElsewhere(tuple(sorted({*known, *reported})))
         case (RunsElsewhere(), _):
             return theirs
         case (OutcomeUnknown() | AnswerNotKept(), Answer()):
@@ -98,7 +98,11 @@
 
 
 def without_own(state: EntryState, incarnation: int) -> EntryState | None:
-    """Leave out tries of this very incarnation, none left: its own record knows how they ended."""
+    """Remove attempts of this incarnation, whose outcome is in its own record.
+
+    Returns:
+        The remaining state, or None if no attempt is left.
+    """
     if not isinstance(state, RunsElsewhere):
         return state
     runs = tuple(run for run in state.runs if run.incarnation != incarnation)
--- a/tests/key_world.py
+++ b/tests/key_world.py
@@ -1,14 +1,14 @@
-"""A world of real ledgers and homes for the search of key histories: no network, no processes.
+"""Simulation with real ledgers and homes for searching key histories, without network or processes.
 
-Idempotency keys, agents in slots, a bag of messages that arrive in any order, twice or never,
-configurations that agents take up when they will, crashes, restarts and planned stops. The world
-counts for each key the tries that may have reached an endpoint.
+Models idempotency keys, agents in slots, messages that arrive in any order, twice or never,
+configurations that agents apply at any time, crashes, restarts and planned stops. Counts for each
+key the attempts that may have reached an endpoint.
 """
 
 from dataclasses import dataclass, field
 
 from carawayhub.agent.begin import Ask, Refuse, Run
-from carawayhub.agent.handover import Departure
+from carawayhub.agent.handover import PendingHandover
 from carawayhub.agent.homes import Homes
 from carawayhub.agent.keyset import KeySet, Seat, key_set
 from carawayhub.agent.keytiming import KeyTiming
@@ -35,15 +35,15 @@
 KEY_TTL = 10.0
 TIMING = KeyTiming(late_arrival=1.0)
 RATES = {"a": 0.99, "b": 1.01, "c": 0.99, "d": 1.01}
-"""Rates of the agents' clocks; their zeros differ as well. The callers' clock is true time."""
+"""Rates of the agents' clocks, whose origins differ too. The callers' clock is true time."""
 
 
 class DoubleRunError(AssertionError):
-    """Two tries of the key may have reached endpoints."""
+    """Two attempts of the key may have reached endpoints."""
 
 
 class FalseNotRunError(AssertionError):
-    """An attempt that may have run was told that it was not run."""
+    """An attempt that may have run was reported as not run."""
 
 
 def key_of(number: int) -> RunKey:
@@ -55,25 +55,25 @@
 
 
 def set_of(names: str) -> KeySet:
-    """Return the set that ``names`` describes, for example ``"a b c-"`` with c leaving."""
+    """Return the key set that ``names`` describes, for example ``"a b c-"`` with c leaving."""
     seats = [Seat(member(name.rstrip("-")), name.endswith("-")) for name in names.split()]
     return key_set(SCOPE, tuple(seats), KEY_TTL)
 
 
 @dataclass(slots=True)
 class Agent:
-    """One incarnation."""
+    """One agent incarnation."""
 
     ledger: Ledger
     homes: Homes
     version: int
-    departure: Departure | None = None
+    departure: PendingHandover | None = None
     stopping: bool = False
 
 
 @dataclass(slots=True)
 class Message:
-    """Something on its way."""
+    """A message in transit."""
 
     to: Member
     body: object
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Attempt:
-    """One sending of the key by its caller."""
+    """One request with the key, sent by its caller."""
 
     key: RunKey
     number: int
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Try:
-    """A try that may have reached the endpoint."""
+    """An attempt that may have reached the endpoint."""
 
     key: RunKey
     slot: Member
@@ -100,7 +100,7 @@
 
 @dataclass(slots=True)
 class World:
-    """See the module; ``sets`` are the configurations, the first being version 1."""
+    """The simulated fleet; ``sets`` are the configurations, starting with version 1."""
 
     sets: list[KeySet]
     latest: int = 1
@@ -118,7 +118,7 @@
     gone: set[Member] = field(default_factory=set)
 
     def start(self, slot: Member, version: int) -> None:
-        """Start a new incarnation; the slot's address is free, so none other is alive there."""
+        """Start a new incarnation; the slot's address is free, so no other is running there."""
         assert slot not in self.agents and slot not in self.gone
         self.incarnations += 1
         clock = self.clocks.setdefault(slot, ManualClock(now=1000.0 * len(self.clocks)))
@@ -142,7 +142,7 @@
             self.bag.append(Message(peer, request, slot))
 
     def send(self, key: RunKey, version: int) -> None:
-        """Let the caller send a key, through an entry that stands at ``version``."""
+        """Send a key from the caller, through an entry with configuration ``version``."""
         now = self.clock.monotonic()
         home = self.home(key, version)
         if home is None or now > self.first_sent.setdefault(key, now) + KEY_TTL:
@@ -151,23 +151,23 @@
         self.bag.append(Message(home, Attempt(key, self.attempts, now)))
 
     def home(self, key: RunKey, version: int) -> Member | None:
-        """Return where an entry at ``version`` sends a key."""
+        """Return the agent to which an entry at ``version`` sends a key."""
         return self.sets[version - 1].home(key)
 
     def open_keys(self) -> list[RunKey]:
-        """Return the keys that their caller may still send."""
+        """Return the keys that callers may still send."""
         now = self.clock.monotonic()
         return [key for key, sent in self.first_sent.items() if now <= sent + KEY_TTL]
 
     def deliver(self, place: int, keep: bool = False) -> None:
-        """Deliver one message; ``keep`` leaves a copy on its way."""
+        """Deliver one message; ``keep`` leaves a copy in transit."""
         message = self.bag[place] if keep else self.bag.pop(place)
         agent = self.agents.get(message.to)
         if agent is not None:
             self._receive(message, agent)
 
     def advance(self, seconds: float) -> None:
-        """Let time pass; attempts that were too long on their way are refused by their stamp."""
+        """Advance the clocks; attempts in transit for too long are rejected by their stamp."""
         self.clock.advance(seconds)
         for slot, clock in self.clocks.items():
             clock.advance(seconds * RATES[slot.endpoint])
@@ -179,7 +179,7 @@
         ]
 
     def finishable(self) -> list[RunId]:
-        """Return the tries that still run."""
+        """Return the attempts that still run."""
         return [
             run
             for run, one in self.live.items()
@@ -189,7 +189,7 @@
         ]
 
     def finish(self, run: RunId, sent: bool) -> None:
-        """End a try at its agent."""
+        """End an attempt at its agent."""
         one = self.live[run]
         result = Answer(201) if sent else NotRun(int(Code.CONNECT_FAILED))
         if not self.agents[one.slot].ledger.finish(one.key, run, result):
@@ -199,14 +199,14 @@
             del self.live[run]
 
     def stop(self, slot: Member) -> None:
-        """Go one step on with a planned stop."""
+        """Perform the next step of a planned stop."""
         agent = self.agents[slot]
         agent.homes.close()
         agent.stopping = True
         if agent.ledger.running():
             return
         if agent.departure is None:
-            agent.departure = Departure(agent.homes, agent.ledger)
+            agent.departure = PendingHandover(agent.homes, agent.ledger)
         if agent.departure.finished:
             del self.agents[slot]
             return
@@ -214,7 +214,7 @@
             self.bag.append(Message(receiver, handover, slot))
 
     def note_gone(self, slot: Member, at: Member) -> None:
-        """Let the platform's list tell one agent that another's VM has gone."""
+        """Report to one agent, by the platform's list, that another's VM is gone."""
         self.gone.add(slot)
         self.agents[at].homes.note_gone([slot.vm])
 
@@ -238,7 +238,7 @@
                     return
             case HandoverTaken() as taken if agent.departure is not None:
                 if taken.incarnation == agent.homes.incarnation:
-                    agent.departure.taken(taken)
+                    agent.departure.mark_accepted(taken)
         assert sender is None or sender != message.to
 
     def _reply(self, message: Message, body: object) -> None:
--- a/tests/test_key_search.py
+++ b/tests/test_key_search.py
@@ -21,7 +21,7 @@
     Args:
         seed: Seed of all choices.
         sets: Configurations in their order.
-        false_gone: Whether the platform's list may call a VM gone that lives on, cut off.
+        false_gone: Whether the platform's list may report a VM as gone that runs but is cut off.
     """
 
     STEPS = 70
@@ -67,7 +67,7 @@
         return self.rng.choice(sorted(self.world.agents)) if self.world.agents else None
 
     def deliver_new(self, first):
-        """Deliver most messages that came into the bag at ``first`` and after, replies too."""
+        """Deliver most messages from index ``first`` of the bag onwards, including replies."""
         place = first
         while place < len(self.world.bag):
             if self.rng.random() < self.PROMPT:
@@ -98,7 +98,7 @@
             self.world.deliver(self.rng.randrange(len(self.world.bag)))
 
     def duplicate(self):
-        # Calls of callers are not repeated by the network, only by the callers themselves.
+        # The network does not repeat callers' requests; only the callers retry them.
         places = [i for i, one in enumerate(self.world.bag) if one.sender is not None]
         if places:
             self.world.deliver(self.rng.choice(places), keep=True)
@@ -173,7 +173,7 @@
 
 
 def search(story, seeds, **options):
-    """Walk a story with each seed and count what happened."""
+    """Run a scenario with each seed and count the events."""
     counts = Counter()
     for seed in seeds:
         world = Walk(seed, STORIES[story], **options).run()
@@ -182,7 +182,7 @@
 
 
 class RandomSearchTest(unittest.TestCase):
-    """No history lets a key run twice or calls a run "not run"."""
+    """No history runs a key twice or reports a run as "not run"."""
 
     def test_no_key_runs_twice_in_any_story(self):
         for story in STORIES:
@@ -197,7 +197,7 @@
 
 
 class BrokenVariantsTest(unittest.TestCase):
-    """The same search finds a double run once a guard is taken out."""
+    """The same search finds a double run once a safeguard is removed."""
 
     def assert_found(self, story, *patches):
         with contextlib.ExitStack() as stack:
@@ -221,9 +221,9 @@
         self.assert_found("leave", mock.patch.object(Ledger, "export", lambda *given: ()))
 
     def test_with_homes_by_the_live_view(self):
-        """Each entry sends a key to the best of the agents that it believes alive.
+        """Each entry sends a key to the best of the agents that it considers alive.
 
-        Agents then run whatever they are sent: two entries with two beliefs run a key twice.
+        If agents run every key they receive, two entries with different views run a key twice.
         """
         self.assert_found(
             "join",
@@ -237,11 +237,11 @@
 
 
 class Explorer:
-    """All histories of one key within budgets, each state visited once.
+    """Visits all histories of one key within a budget, each state once.
 
     Args:
-        names: Two sets; the key's home moves from the one to the other.
-        budget: How often each kind of move may be made; moves not named are free.
+        names: Two sets; the key's home differs between them.
+        budget: How often each kind of move may be made; other moves are unlimited.
     """
 
     FREE = "free"
@@ -266,7 +266,7 @@
         """Return the number of states.
 
         Raises:
-            AssertionError: A history breaks a promise.
+            AssertionError: A history violates a guarantee.
         """
         first = (pickle.dumps(self.start), self.budget)
         seen = {hash(first)}
@@ -311,7 +311,7 @@
 
 
 class ExhaustiveSearchTest(unittest.TestCase):
-    """Every order of the messages of a planned leave with two sendings of one key."""
+    """All message orders of a planned leave in which one key is sent twice."""
 
     LEAVE = ("a b", "a- b")
 
--- a/tests/test_run_once_homes.py
+++ b/tests/test_run_once_homes.py
@@ -1,4 +1,4 @@
-"""Homes of idempotency keys: fences, quarantines, planned stops and believed ends of VMs."""
+"""Homes of idempotency keys: fences, quarantines, planned stops and VMs presumed gone."""
 
 import unittest
 from dataclasses import replace
@@ -24,17 +24,17 @@
 
 A, B, C, D = (member(name) for name in "abcd")
 RETENTION = TIMING.retention(KEY_TTL) / min(RATES.values())
-"""True time after which each agent's retention has passed."""
+"""True time after which the retention of every agent has passed."""
 
 
 def key_moving(world, *homes):
-    """Return a key whose home at the world's sets is ``homes``, in order."""
+    """Return a key whose homes under the world's sets are ``homes``, in order."""
     numbers = range(10_000)
     return next(k for k in map(key_of, numbers) if tuple(s.home(k) for s in world.sets) == homes)
 
 
 class Fleet(unittest.TestCase):
-    """A world whose first set is established and out of its quarantine."""
+    """A world whose first set is established, with its quarantine over."""
 
     def fleet(self, *sets):
         world = World([set_of(names) for names in sets])
@@ -45,7 +45,7 @@
         return world
 
     def settle(self, world, deaf=()):
-        """Let all agents ask each other and all messages but those to ``deaf`` arrive."""
+        """Make all agents ask each other and deliver all messages except those to ``deaf``."""
         for _ in range(3):
             for slot in sorted(world.agents):
                 if slot not in deaf:
@@ -65,7 +65,7 @@
                 world.adopt(slot, world.latest)
 
     def call(self, world, key, version=None):
-        """Send a key; return how many tries it has started since the beginning."""
+        """Send a key; return the total number of attempts started so far."""
         world.send(key, version or world.latest)
         self.arrive(world)
         return world.runs
@@ -90,9 +90,9 @@
     """Joins and planned leaves."""
 
     def test_a_key_that_moves_with_a_planned_leave_is_answered_at_its_new_home(self):
-        """A booking runs; its endpoint is set to leave; the app, whose reply was lost, asks again.
+        """A request runs, its reply is lost, and its endpoint is listed as leaving.
 
-        The retry reaches the new home, which must know the booking already.
+        The retry reaches the new home, which must already have the record.
         """
         world = self.fleet("a b c", "a- b c")
         key = key_moving(world, A, B)
@@ -103,10 +103,10 @@
         self.assertEqual((self.call(world, key), world.replays), (1, 1))
 
     def test_the_new_home_waits_for_an_agent_that_has_not_heard(self):
-        """An endpoint joins, but the agent of a key's old home has not heard of it.
+        """An endpoint joins, but the agent at a key's old home has not received the change.
 
-        An entry that has not heard either still sends the key there. Did the new home start at
-        once, the key would run at both.
+        An entry that has not received it either still sends the key to the old home. If the new
+        home started at once, the key would run at both.
         """
         world = self.fleet("a b", "a b c")
         key = key_moving(world, A, C)
@@ -122,7 +122,7 @@
         self.assertEqual(self.refusal(world, A, key), Code.RUN_HOME_UNREACHABLE)
 
     def test_a_run_that_goes_on_at_the_old_home_is_not_repeated(self):
-        """A booking takes long; its key moves meanwhile and is sent again to the new home."""
+        """The key of a long request moves while it runs, and the retry reaches the new home."""
         world = self.fleet("a b c", "a- b c")
         key = key_moving(world, A, B)
         self.call(world, key)
@@ -135,7 +135,7 @@
         self.assertEqual((world.runs, world.replays), (1, 1))
 
     def test_keys_that_did_not_move_go_on_while_a_member_cannot_be_reached(self):
-        """One agent is cut off while an endpoint joins; bookings that stay put must not stop."""
+        """One agent is unreachable while an endpoint joins; keys that stay must still run."""
         world = self.fleet("a b c", "a b c d")
         stays, moves = key_moving(world, A, A), key_moving(world, A, D)
         world.start(D, 2)
@@ -146,9 +146,9 @@
         self.assertEqual(self.refusal(world, D, moves), Code.RUN_HOME_UNREACHABLE)
 
     def test_a_late_promise_from_before_the_key_went_away_and_came_back_does_not_count(self):
-        """The set changes and changes back while a promise from the first time is on its way.
+        """The set changes and changes back while a promise from the first period is in transit.
 
-        In between the key ran elsewhere. Taken for new, the old promise would let it run again.
+        Meanwhile the key ran elsewhere. If the old promise were accepted, the key would run again.
         """
         world = self.fleet("a b", "a b-", "a b")
         key = key_moving(world, B, A, B)
@@ -168,9 +168,9 @@
         self.assertEqual((self.call(world, key), world.replays), (1, 1))
 
     def test_a_member_that_was_dropped_without_leaving_is_heard_first(self):
-        """A file drops an endpoint at once. Its agent has not heard and still runs bookings.
+        """A configuration drops an endpoint whose agent has not received it and still runs keys.
 
-        An endpoint that joins later never saw it in a configuration; its peers must name it.
+        An endpoint that joins later never saw it in a configuration; its peers must report it.
         """
         world = self.fleet("a b c", "b c", "b c d")
         key = key_moving(world, A, B, D)
@@ -191,10 +191,10 @@
 
 
 class EndsTest(Fleet):
-    """Crashes, planned stops and VMs that are believed gone."""
+    """Crashes, planned stops and VMs that are presumed gone."""
 
     def test_a_restarted_agent_distrusts_keys_until_they_have_expired(self):
-        """An agent crashes after it ran a booking and starts anew; the app asks again."""
+        """An agent crashes after it ran a request and restarts; the client retries."""
         world = self.fleet("a b")
         key = key_moving(world, A)
         self.call(world, key)
@@ -208,7 +208,7 @@
         self.assertIsNone(self.refusal(world, A, key))
 
     def test_a_member_that_lost_its_memory_passes_its_quarantine_on(self):
-        """The home of a booking crashes and restarts, then the booking's key moves to a peer."""
+        """The home of a key crashes and restarts, then the key moves to a peer."""
         world = self.fleet("a b c", "a- b c")
         key = key_moving(world, A, B)
         self.call(world, key)
@@ -219,7 +219,7 @@
         self.assertEqual(self.refusal(world, B, key), Code.RUN_QUARANTINE)
 
     def test_a_planned_restart_needs_no_quarantine(self):
-        """A VM is rebooted as planned between a booking and its retry."""
+        """A planned reboot of the VM happens between a request and its retry."""
         world = self.fleet("a b c")
         ran, new = key_moving(world, A), key_of(10_001)
         self.call(world, ran)
@@ -231,9 +231,9 @@
         self.assertNotEqual(self.refusal(world, A, new), Code.RUN_QUARANTINE)
 
     def test_a_crash_after_a_planned_restart_is_not_taken_for_the_planned_stop(self):
-        """An agent is restarted as planned, runs a booking and crashes; a third one starts.
+        """After a planned restart an agent runs a request and crashes; a third incarnation starts.
 
-        Its peers still hold the handover of the first one, which does not know the booking.
+        Its peers still hold the handover of the first one, which has no record of the request.
         """
         world = self.fleet("a b c")
         self.restart_as_planned(world, A)
@@ -246,7 +246,7 @@
         self.assertEqual(self.refusal(world, A, key), Code.RUN_QUARANTINE)
 
     def test_a_stop_waits_for_its_runs_and_an_agent_that_stops_takes_nothing_over(self):
-        """Two agents stop at once; what one hands to the other would end with that one."""
+        """Two agents stop at once; entries handed from one to the other would be lost with it."""
         world = self.fleet("a b c")
         self.call(world, key_moving(world, A))
         world.stop(A)
@@ -262,7 +262,7 @@
         self.assertIn(A, world.agents)
 
     def test_a_vm_that_is_gone_is_passed_over_after_a_quarantine(self):
-        """A VM dies for good and an operator lists its endpoint as leaving."""
+        """A VM fails permanently and an operator lists its endpoint as leaving."""
         world = self.fleet("a b c", "a- b c")
         key = key_moving(world, A, B)
         self.call(world, key)
@@ -279,9 +279,9 @@
         self.assertIsNone(self.refusal(world, B, key))
 
     def test_an_agent_that_starts_later_learns_from_its_peers_which_vms_are_gone(self):
-        """A VM dies; before its endpoint is replaced, another agent crashes and restarts.
+        """A VM fails; before its endpoint is replaced, another agent crashes and restarts.
 
-        The new incarnation never saw the dead VM listed, and would wait for it for ever.
+        The new incarnation never saw the failed VM listed and would wait for it indefinitely.
         """
         world = self.fleet("a b c")
         world.crash(A)
@@ -296,9 +296,10 @@
         self.assertEqual(world.agents[B].homes.status(SCOPE), Established(0.0))
 
     def test_an_agent_whose_vm_is_called_gone_while_it_lives_stops_by_itself(self):
-        """The platform's list drops a VM that lives on, cut off from its peers but not its callers.
+        """The platform's list drops a VM that still runs and is cut off only from its peers.
 
-        The others replace it. Without a majority's confirmation it must have stopped before.
+        Callers still reach it. Its peers replace it; without the confirmation of a majority it
+        must have stopped before that.
         """
         world = self.fleet("a b c", "a- b c")
         key = key_moving(world, A, B)
@@ -329,9 +330,9 @@
         self.assertEqual(world.agents[B].homes.status(SCOPE), Missing((A,)))
 
     def test_an_agent_that_lost_its_memory_confirms_nobody(self):
-        """A peer moves on to a set without an agent, crashes, and restarts with the old set.
+        """A peer applies a set without an agent, crashes, and restarts with the old set.
 
-        Confirming that agent again would let it run keys that have another home by now.
+        Confirming that agent again would let it run keys that now have another home.
         """
         world = self.fleet("a b", "b")
         key = key_moving(world, A, B)
@@ -359,7 +360,7 @@
 
 
 class MessagesTest(unittest.TestCase):
-    """What a fence makes of single messages."""
+    """How a fence handles single messages."""
 
     def setUp(self):
         self.clock = ManualClock()
@@ -367,7 +368,7 @@
         self.homes = Homes(self.clock, A, 1, TIMING)
 
     def test_a_reply_to_an_earlier_incarnation_does_not_count(self):
-        """An agent restarts; the reply to its predecessor's request number 1 is still on its way.
+        """An agent restarts while the reply to its predecessor's request 1 is in transit.
 
         The peer promised before the restart, and has run keys of a newer set since.
         """
@@ -433,7 +434,7 @@
 
 
 class KeySetTest(unittest.TestCase):
-    """Homes by the configuration."""
+    """Homes derived from the configuration."""
 
     KEYS = [key_of(number) for number in range(3000)]
 
@@ -530,7 +531,7 @@
         self.assertEqual(self.observe(rest, after=1.0), ())
 
     def test_a_list_that_shrinks_at_once_proves_nothing(self):
-        """The platform answers from an old copy that lacks most VMs, and keeps doing so."""
+        """The platform keeps answering from an outdated copy that lacks most VMs."""
         self.observe(self.names)
         few = {"vm-0", "vm-1"}
         self.assertEqual(self.observe(few), ())
--- a/tests/unguarded.py
+++ b/tests/unguarded.py
@@ -192,11 +192,11 @@
 @guard("promises")
 def _promises() -> None:
     from carawayhub.agent.fence import Fence
-    from carawayhub.agent.grounds import Grounds
+    from carawayhub.agent.grounds import StageHistory
 
     replace(Fence, "missing", lambda self: ())
     replace(Fence, "_quarantine_until", lambda self, peer: self._started)
-    replace(Grounds, "confirmed", lambda self, key_set: True)
+    replace(StageHistory, "confirmed", lambda self, key_set: True)
 
 
 @guard("home")
