--- a/tests/key_world.py
+++ b/tests/key_world.py
@@ -67,7 +67,7 @@
     ledger: Ledger
     homes: Homes
     version: int
-    departure: PendingHandover | None = None
+    pending_handover: PendingHandover | None = None
     stopping: bool = False
 
 
@@ -81,7 +81,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Attempt:
+class CallerRequest:
     """One request with the key, sent by its caller."""
 
     key: RunKey
@@ -90,7 +90,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Try:
+class LiveAttempt:
     """An attempt that may have reached the endpoint."""
 
     key: RunKey
@@ -107,8 +107,8 @@
     clock: ManualClock = field(default_factory=ManualClock)
     clocks: dict[Member, ManualClock] = field(default_factory=dict)
     agents: dict[Member, Agent] = field(default_factory=dict)
-    bag: list[Message] = field(default_factory=list)
-    live: dict[RunId, Try] = field(default_factory=dict)
+    in_transit: list[Message] = field(default_factory=list)
+    live: dict[RunId, LiveAttempt] = field(default_factory=dict)
     first_sent: dict[RunKey, float] = field(default_factory=dict)
     attempts: int = 0
     incarnations: int = 0
@@ -139,7 +139,7 @@
     def ask(self, slot: Member) -> None:
         """Send a round of fence requests."""
         for peer, request in self.agents[slot].homes.requests(SCOPE):
-            self.bag.append(Message(peer, request, slot))
+            self.in_transit.append(Message(peer, request, slot))
 
     def send(self, key: RunKey, version: int) -> None:
         """Send a key from the caller, through an entry with configuration ``version``."""
@@ -148,7 +148,7 @@
         if home is None or now > self.first_sent.setdefault(key, now) + KEY_TTL:
             return
         self.attempts += 1
-        self.bag.append(Message(home, Attempt(key, self.attempts, now)))
+        self.in_transit.append(Message(home, CallerRequest(key, self.attempts, now)))
 
     def home(self, key: RunKey, version: int) -> Member | None:
         """Return the agent to which an entry at ``version`` sends a key."""
@@ -161,7 +161,7 @@
 
     def deliver(self, place: int, keep: bool = False) -> None:
         """Deliver one message; ``keep`` leaves a copy in transit."""
-        message = self.bag[place] if keep else self.bag.pop(place)
+        message = self.in_transit[place] if keep else self.in_transit.pop(place)
         agent = self.agents.get(message.to)
         if agent is not None:
             self._receive(message, agent)
@@ -172,10 +172,10 @@
         for slot, clock in self.clocks.items():
             clock.advance(seconds * RATES[slot.endpoint])
         now = self.clock.monotonic()
-        self.bag = [
+        self.in_transit = [
             one
-            for one in self.bag
-            if not isinstance(one.body, Attempt) or now - one.body.sent <= TIMING.late_arrival
+            for one in self.in_transit
+            if not isinstance(one.body, CallerRequest) or now - one.body.sent <= TIMING.late_arrival
         ]
 
     def finishable(self) -> list[RunId]:
@@ -205,13 +205,13 @@
         agent.stopping = True
         if agent.ledger.running():
             return
-        if agent.departure is None:
-            agent.departure = PendingHandover(agent.homes, agent.ledger)
-        if agent.departure.finished:
+        if agent.pending_handover is None:
+            agent.pending_handover = PendingHandover(agent.homes, agent.ledger)
+        if agent.pending_handover.finished:
             del self.agents[slot]
             return
-        for receiver, handover in agent.departure.pending():
-            self.bag.append(Message(receiver, handover, slot))
+        for receiver, handover in agent.pending_handover.pending():
+            self.in_transit.append(Message(receiver, handover, slot))
 
     def note_gone(self, slot: Member, at: Member) -> None:
         """Report to one agent, by the platform's list, that another's VM is gone."""
@@ -221,7 +221,7 @@
     def _receive(self, message: Message, agent: Agent) -> None:
         sender = message.sender
         match message.body:
-            case Attempt() as attempt:
+            case CallerRequest() as attempt:
                 self._attempt(attempt, message.to, agent)
             case FenceRequest() as request:
                 self._reply(message, agent.homes.answer(request, agent.ledger))
@@ -236,33 +236,33 @@
                     self._reply(message, agent.homes.take_handover(handover, agent.ledger))
                 except PeerError:
                     return
-            case HandoverTaken() as taken if agent.departure is not None:
+            case HandoverTaken() as taken if agent.pending_handover is not None:
                 if taken.incarnation == agent.homes.incarnation:
-                    agent.departure.mark_accepted(taken)
+                    agent.pending_handover.mark_accepted(taken)
         assert sender is None or sender != message.to
 
     def _reply(self, message: Message, body: object) -> None:
         assert message.sender is not None
-        self.bag.append(Message(message.sender, body, message.to))
+        self.in_transit.append(Message(message.sender, body, message.to))
 
-    def _attempt(self, attempt: Attempt, slot: Member, agent: Agent) -> None:
+    def _attempt(self, attempt: CallerRequest, slot: Member, agent: Agent) -> None:
         key = attempt.key
         gate = agent.homes.admit(key)
         match agent.ledger.begin(key, b"d", agent.homes.keep_until(key), gate):
             case Run(run=run):
-                self.live[run] = Try(key, slot, attempt.number)
+                self.live[run] = LiveAttempt(key, slot, attempt.number)
                 self.runs += 1
-                tries = [run for run, one in self.live.items() if one.key == key]
-                if len(tries) > 1:
-                    raise DoubleRunError(f"{key.key}: {tries}")
+                live_attempts = [run for run, one in self.live.items() if one.key == key]
+                if len(live_attempts) > 1:
+                    raise DoubleRunError(f"{key.key}: {live_attempts}")
             case Ask(look_up=question):
-                self.bag.append(Message(question.run.member, question, slot))
+                self.in_transit.append(Message(question.run.member, question, slot))
             case Refuse(code=code):
                 self._check_refusal(attempt, code)
             case _:
                 self.replays += 1
 
-    def _check_refusal(self, attempt: Attempt, code: Code) -> None:
+    def _check_refusal(self, attempt: CallerRequest, code: Code) -> None:
         started = {one.attempt for one in self.live.values()}
         if meaning(code).outcome is Outcome.NOT_RUN and attempt.number in started:
             raise FalseNotRunError(f"attempt {attempt.number}: {code.name}")
--- a/tests/test_key_search.py
+++ b/tests/test_key_search.py
@@ -15,7 +15,7 @@
 A, B = member("a"), member("b")
 
 
-class Walk:
+class RandomHistory:
     """One random history with a fixed seed.
 
     Args:
@@ -54,7 +54,7 @@
         self.world.advance(20.0)
         for slot in self.world.sets[0].members:
             self.world.ask(slot)
-        while self.world.bag:
+        while self.world.in_transit:
             self.world.deliver(0)
 
     def run(self):
@@ -67,9 +67,9 @@
         return self.rng.choice(sorted(self.world.agents)) if self.world.agents else None
 
     def deliver_new(self, first):
-        """Deliver most messages from index ``first`` of the bag onwards, including replies."""
+        """Deliver most messages from index ``first`` of ``in_transit`` onwards, including replies."""
         place = first
-        while place < len(self.world.bag):
+        while place < len(self.world.in_transit):
             if self.rng.random() < self.PROMPT:
                 self.world.deliver(place)
             else:
@@ -78,7 +78,7 @@
     def talk(self):
         slot = self.agent()
         if slot is not None:
-            first = len(self.world.bag)
+            first = len(self.world.in_transit)
             self.world.ask(slot)
             self.deliver_new(first)
 
@@ -89,23 +89,23 @@
         else:
             self.keys += 1
             key = key_of(self.keys)
-        first = len(self.world.bag)
+        first = len(self.world.in_transit)
         self.world.send(key, self.rng.randint(max(1, self.world.latest - 1), self.world.latest))
         self.deliver_new(first)
 
     def deliver(self):
-        if self.world.bag:
-            self.world.deliver(self.rng.randrange(len(self.world.bag)))
+        if self.world.in_transit:
+            self.world.deliver(self.rng.randrange(len(self.world.in_transit)))
 
     def duplicate(self):
         # The network does not repeat callers' requests; only the callers retry them.
-        places = [i for i, one in enumerate(self.world.bag) if one.sender is not None]
+        places = [i for i, one in enumerate(self.world.in_transit) if one.sender is not None]
         if places:
             self.world.deliver(self.rng.choice(places), keep=True)
 
     def drop(self):
-        if self.world.bag:
-            self.world.bag.pop(self.rng.randrange(len(self.world.bag)))
+        if self.world.in_transit:
+            self.world.in_transit.pop(self.rng.randrange(len(self.world.in_transit)))
 
     def finish(self):
         running = self.world.finishable()
@@ -140,7 +140,7 @@
         slot = self.rng.choice(stopping) if stopping else self.agent()
         if slot is None:
             return
-        first = len(self.world.bag)
+        first = len(self.world.in_transit)
         self.world.stop(slot)
         self.deliver_new(first)
 
@@ -162,21 +162,21 @@
         self.world.advance(self.rng.choice(self.WAITS))
 
 
-STORIES = {
+SCENARIOS = {
     "join": ["a b", "a b c"],
     "leave": ["a b c", "a- b c", "b c"],
     "migrate": ["a b", "a b c", "a- b c", "b c", "b c d", "a b c d"],
     "abrupt": ["a b c", "b c d", "c d", "a c d"],
     "back": ["a b", "a b c", "a b", "a b c"],
 }
-WALKS = 120
+SEEDS = 120
 
 
-def search(story, seeds, **options):
+def search(scenario, seeds, **options):
     """Run a scenario with each seed and count the events."""
     counts = Counter()
     for seed in seeds:
-        world = Walk(seed, STORIES[story], **options).run()
+        world = RandomHistory(seed, SCENARIOS[scenario], **options).run()
         counts += Counter(runs=world.runs, replays=world.replays)
     return counts
 
@@ -185,26 +185,26 @@
     """No history runs a key twice or reports a run as "not run"."""
 
     def test_no_key_runs_twice_in_any_story(self):
-        for story in STORIES:
-            with self.subTest(story):
-                counts = search(story, range(WALKS))
-                self.assertGreater(counts["runs"], WALKS)
-                self.assertGreater(counts["replays"], WALKS)
+        for scenario in SCENARIOS:
+            with self.subTest(scenario):
+                counts = search(scenario, range(SEEDS))
+                self.assertGreater(counts["runs"], SEEDS)
+                self.assertGreater(counts["replays"], SEEDS)
 
     def test_no_key_runs_twice_while_the_platform_calls_live_vms_gone(self):
-        counts = search("leave", range(WALKS), false_gone=True)
-        self.assertGreater(counts["runs"], WALKS)
+        counts = search("leave", range(SEEDS), false_gone=True)
+        self.assertGreater(counts["runs"], SEEDS)
 
 
 class BrokenVariantsTest(unittest.TestCase):
     """The same search finds a double run once a safeguard is removed."""
 
-    def assert_found(self, story, *patches):
+    def assert_found(self, scenario, *patches):
         with contextlib.ExitStack() as stack:
             for one in patches:
                 stack.enter_context(one)
             with self.assertRaises(DoubleRunError):
-                search(story, range(400))
+                search(scenario, range(400))
 
     def test_without_the_fence(self):
         self.assert_found(
@@ -257,7 +257,7 @@
         self.start.advance(20.0)
         for slot in self.slots:
             self.start.ask(slot)
-        while self.start.bag:
+        while self.start.in_transit:
             self.start.deliver(0)
         self.start.latest = 2
         self.budget = tuple(sorted(budget.items()))
@@ -301,7 +301,7 @@
             for slot in self.slots:
                 if slot not in world.agents:
                     yield "start", "start", slot, version
-        for place, message in enumerate(world.bag):
+        for place, message in enumerate(world.in_transit):
             yield self.FREE, "deliver", place
             if message.sender is not None:
                 yield "duplicate", "deliver", place, True
--- a/tests/test_run_once_homes.py
+++ b/tests/test_run_once_homes.py
@@ -44,19 +44,27 @@
         self.settle(world)
         return world
 
-    def settle(self, world, deaf=()):
-        """Make all agents ask each other and deliver all messages except those to ``deaf``."""
+    def settle(self, world, unreachable=()):
+        """Make all agents ask each other and deliver all messages except those to ``unreachable``."""
         for _ in range(3):
             for slot in sorted(world.agents):
-                if slot not in deaf:
+                if slot not in unreachable:
                     world.ask(slot)
-            self.arrive(world, deaf)
-
-    def arrive(self, world, deaf=()):
-        world.bag = [one for one in world.bag if one.to not in deaf and one.sender not in deaf]
-        while world.bag:
+            self.arrive(world, unreachable)
+
+    def arrive(self, world, unreachable=()):
+        world.in_transit = [
+            one
+            for one in world.in_transit
+            if one.to not in unreachable and one.sender not in unreachable
+        ]
+        while world.in_transit:
             world.deliver(0)
-            world.bag = [one for one in world.bag if one.to not in deaf and one.sender not in deaf]
+            world.in_transit = [
+                one
+                for one in world.in_transit
+                if one.to not in unreachable and one.sender not in unreachable
+            ]
 
     def publish(self, world, *, but=()):
         world.latest += 1
@@ -141,7 +149,7 @@
         world.start(D, 2)
         world.advance(KEY_TTL * 0.3)
         self.publish(world, but=(C,))
-        self.settle(world, deaf=(C,))
+        self.settle(world, unreachable=(C,))
         self.assertIsNone(self.refusal(world, A, stays))
         self.assertEqual(self.refusal(world, D, moves), Code.RUN_HOME_UNREACHABLE)
 
@@ -155,13 +163,13 @@
         world.advance(KEY_TTL * 0.1)
         world.ask(B)
         world.deliver(0)
-        late = world.bag.pop()
+        late = world.in_transit.pop()
         self.publish(world)
         self.settle(world)
         self.call(world, key)
         self.end_runs(world)
         self.publish(world)
-        world.bag.append(late)
+        world.in_transit.append(late)
         self.arrive(world)
         self.assertEqual(self.refusal(world, B, key), Code.RUN_HOME_UNREACHABLE)
         self.settle(world)
@@ -178,11 +186,11 @@
         world.start(D, 2)
         world.advance(KEY_TTL * 0.45)
         self.publish(world, but=(A,))
-        self.settle(world, deaf=(A,))
+        self.settle(world, unreachable=(A,))
         world.advance(KEY_TTL * 0.45)
-        self.settle(world, deaf=(A,))
+        self.settle(world, unreachable=(A,))
         world.advance(RETENTION)
-        self.settle(world, deaf=(A,))
+        self.settle(world, unreachable=(A,))
         self.assertEqual(self.refusal(world, D, key), Code.RUN_HOME_UNREACHABLE)
         self.assertEqual(world.agents[D].homes.status(SCOPE), Missing((A,)))
         world.adopt(A, 3)
@@ -250,11 +258,11 @@
         world = self.fleet("a b c")
         self.call(world, key_moving(world, A))
         world.stop(A)
-        self.assertIsNone(world.agents[A].departure)
+        self.assertIsNone(world.agents[A].pending_handover)
         self.end_runs(world)
         world.agents[B].homes.close()
         world.stop(A)
-        handover = next(one.body for one in world.bag if one.to == B)
+        handover = next(one.body for one in world.in_transit if one.to == B)
         with self.assertRaises(PeerError):
             world.agents[B].homes.take_handover(handover, world.agents[B].ledger)
         self.arrive(world)
@@ -310,7 +318,7 @@
         stopped = None
         for step in range(200):
             world.advance(KEY_TTL * 0.02)
-            self.settle(world, deaf=(A,))
+            self.settle(world, unreachable=(A,))
             if stopped is None and self.refusal(world, A, key) is not None:
                 stopped = step
             if self.refusal(world, B, key) is None:
@@ -322,7 +330,7 @@
         world = self.fleet("a b c", "a- b c")
         self.publish(world, but=(A,))
         world.note_gone(A, B)
-        self.settle(world, deaf=(A,))
+        self.settle(world, unreachable=(A,))
         self.assertNotEqual(world.agents[B].homes.status(SCOPE), Missing((A,)))
         world.advance(KEY_TTL * 0.1)
         world.ask(A)
