--- a/tests/test_key_search.py
+++ b/tests/test_key_search.py
@@ -67,7 +67,7 @@
         return self.rng.choice(sorted(self.world.agents)) if self.world.agents else None
 
     def deliver_new(self, first):
-        """Deliver most messages from index ``first`` of ``in_transit`` onwards, including replies."""
+        """Deliver most messages in transit from index ``first`` onwards, including replies."""
         place = first
         while place < len(self.world.in_transit):
             if self.rng.random() < self.PROMPT:
--- a/tests/test_run_once_homes.py
+++ b/tests/test_run_once_homes.py
@@ -45,7 +45,7 @@
         return world
 
     def settle(self, world, unreachable=()):
-        """Make all agents ask each other and deliver all messages except those to ``unreachable``."""
+        """Make all agents ask each other; drop messages to and from ``unreachable`` agents."""
         for _ in range(3):
             for slot in sorted(world.agents):
                 if slot not in unreachable:
