--- a/carawayhub/agent/fence.py
+++ b/carawayhub/agent/fence.py
@@ -11,7 +11,6 @@
 from carawayhub.agent.begin import Refuse
 from carawayhub.agent.closed import ClosedIncarnations
 from carawayhub.agent.formermembers import FormerMembers
-from carawayhub.agent.grounds import StageHistory
 from carawayhub.agent.keyset import KeySet
 from carawayhub.agent.keytiming import KeyTiming
 from carawayhub.agent.ledger import Ledger
@@ -26,6 +25,7 @@
     RunKey,
 )
 from carawayhub.agent.promises import Promises
+from carawayhub.agent.stages import StageHistory
 from carawayhub.clock import Clock
 from carawayhub.codes import Code
 
--- a/tests/unguarded.py
+++ b/tests/unguarded.py
@@ -192,7 +192,7 @@
 @guard("promises")
 def _promises() -> None:
     from carawayhub.agent.fence import Fence
-    from carawayhub.agent.grounds import StageHistory
+    from carawayhub.agent.stages import StageHistory
 
     replace(Fence, "missing", lambda self: ())
     replace(Fence, "_quarantine_until", lambda self, peer: self._started)
