--- a/carawayhub/agent/keys.py
+++ b/carawayhub/agent/keys.py
@@ -190,7 +190,7 @@
         self._was_established[scope] = established
         after = "established" if established else "not established"
         before = "not established" if established else "established"
-        reason = "received a promise from every member"
+        reason = "all required promises received"
         if not established:
             reason = f"no promise received from: {', '.join(member.endpoint for member in missing)}"
         self._audit.record(Subject.MEMBER, scope, before, after, reason)
--- a/carawayhub/agent/ledger.py
+++ b/carawayhub/agent/ledger.py
@@ -116,7 +116,7 @@
         return self._bytes
 
     def begin(
-        self, key: RunKey, body_digest: bytes, keep_until: float, gate: Refuse | None = None
+        self, key: RunKey, body_digest: bytes, keep_until: float, rejection: Refuse | None = None
     ) -> Begin:
         """Decide what to do with a request.
 
@@ -124,16 +124,16 @@
             key: The request.
             body_digest: SHA-256 of its method, path and body.
             keep_until: Timestamp until which its record must be kept.
-            gate: Why a request without a record may not start, or None if it may. It must have been
-                determined in the same task step, with no ``await`` in between.
+            rejection: Why a request without a record may not start, or None if it may. It must have
+                been determined in the same task step, with no ``await`` in between.
         """
         self._expire()
         record = self._records.get(key)
         if record is None:
-            return self._begin_new(key, body_digest, keep_until, gate)
+            return self._begin_new(key, body_digest, keep_until, rejection)
         if record.body_digest != body_digest:
             return Refuse(Code.RUN_BODY_DIFFERS)
-        return self._begin_known(key, record, gate)
+        return self._begin_known(key, record, rejection)
 
     def finish(self, key: RunKey, run: RunId, result: RunResult) -> bool:
         """Record the outcome of an attempt and wake the tasks that wait for it.
@@ -205,10 +205,10 @@
         return sum(isinstance(record.state, Running) for record in self._records.values())
 
     def _begin_new(
-        self, key: RunKey, body_digest: bytes, keep_until: float, gate: Refuse | None
+        self, key: RunKey, body_digest: bytes, keep_until: float, rejection: Refuse | None
     ) -> Begin:
-        if gate is not None:
-            return gate
+        if rejection is not None:
+            return rejection
         if keep_until <= self._clock.monotonic():
             # Its record may just have expired, so this run could be the second one.
             return Refuse(Code.RUN_EXPIRED)
@@ -217,13 +217,13 @@
         record = self._add(key, body_digest, keep_until, IDLE)
         return self._start(record)
 
-    def _begin_known(self, key: RunKey, record: Record, gate: Refuse | None) -> Begin:
+    def _begin_known(self, key: RunKey, record: Record, rejection: Refuse | None) -> Begin:
         match record.state:
             case Running():
                 record.done = record.done or anyio.Event()
                 return Wait(record.done)
             case Idle():
-                return gate if gate is not None else self._start(record)
+                return rejection if rejection is not None else self._start(record)
             case Answer() as answer:
                 return Replay(answer, self._remaining(record))
             case AnswerNotKept(status=status):
--- a/tests/key_world.py
+++ b/tests/key_world.py
@@ -247,8 +247,8 @@
 
     def _attempt(self, attempt: CallerRequest, slot: Member, agent: Agent) -> None:
         key = attempt.key
-        gate = agent.homes.admit(key)
-        match agent.ledger.begin(key, b"d", agent.homes.keep_until(key), gate):
+        rejection = agent.homes.admit(key)
+        match agent.ledger.begin(key, b"d", agent.homes.keep_until(key), rejection):
             case Run(run=run):
                 self.live[run] = LiveAttempt(key, slot, attempt.number)
                 self.runs += 1
--- a/tests/test_run_once_ledger.py
+++ b/tests/test_run_once_ledger.py
@@ -41,9 +41,9 @@
         self.clock = ManualClock()
         self.ledger = ledger_of(self.clock)
 
-    def begin(self, key=KEY, digest=b"d", gate=None, ledger=None):
+    def begin(self, key=KEY, digest=b"d", rejection=None, ledger=None):
         chosen = self.ledger if ledger is None else ledger
-        return chosen.begin(key, digest, self.clock.monotonic() + KEEP, gate)
+        return chosen.begin(key, digest, self.clock.monotonic() + KEEP, rejection)
 
 
 class LedgerTest(Case):
@@ -123,10 +123,10 @@
 
     def test_a_gate_stops_new_requests_and_not_what_is_known(self):
         shut = Refuse(Code.RUN_QUARANTINE, 5.0)
-        self.assertEqual(self.begin(gate=shut), shut)
+        self.assertEqual(self.begin(rejection=shut), shut)
         run = self.begin().run
         self.ledger.finish(KEY, run, Answer(200))
-        self.assertIsInstance(self.begin(gate=shut), Replay)
+        self.assertIsInstance(self.begin(rejection=shut), Replay)
 
     def test_a_ticket_is_never_exported(self):
         self.begin(RunKey("service/booking", "cafe", "nonce", ticket=True))
