--- a/carawayhub/agent/formermembers.py
+++ b/carawayhub/agent/formermembers.py
@@ -59,16 +59,16 @@
         self._known[reported.member] = FormerMemberState(reported.leaving, fenced)
         return True
 
-    def fence(self, member: Member, reading: float) -> None:
+    def fence(self, member: Member, timestamp: float) -> None:
         """Note a former member's promise; only the first one counts."""
         former = self._known.get(member)
         if former is not None and former.fenced is None:
-            former.fenced = reading
+            former.fenced = timestamp
 
-    def drop_fenced_before(self, reading: float) -> None:
+    def drop_fenced_before(self, timestamp: float) -> None:
         """Drop the members whose last keys have expired since they were fenced."""
         for member, former in list(self._known.items()):
-            if former.fenced is not None and former.fenced <= reading:
+            if former.fenced is not None and former.fenced <= timestamp:
                 del self._known[member]
 
     def drop(self, member: Member) -> None:
--- a/carawayhub/agent/gate.py
+++ b/carawayhub/agent/gate.py
@@ -163,20 +163,20 @@
 
     async def _run_or_replay(self, req: RunRequest, claim: _Claim, deadline: float) -> RunReply:
         """Run a request, wait for its current run, or replay the recorded answer."""
-        begun = False
+        started = False
         look_ups = 0
         while True:
             match self._ledger.begin(
                 claim.key, claim.digest, claim.keep_until, self._refusal(claim, deadline)
             ):
                 case Run(run=run):
-                    if begun:
+                    if started:
                         self._ledger.finish(claim.key, run, NotRun(int(Code.CONNECT_FAILED)))
                         return _rejection_reply(req, Refuse(Code.CONNECT_FAILED, RETRY_AFTER))
-                    begun = True
+                    started = True
                     self._tasks.start_soon(self._execute, req, claim, run, deadline)
                 case Replay(answer=answer):
-                    return _answer_reply(req, answer, replayed=not begun)
+                    return _answer_reply(req, answer, replayed=not started)
                 case Wait(done=done):
                     if not await self._wait(done, deadline):
                         return _rejection_reply(req, Refuse(Code.RUN_STILL_RUNNING, RETRY_AFTER))
