--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -16,14 +16,14 @@
 import msgspec
 
 from carawayhub.agent.begin import Run
-from carawayhub.agent.handover import Departure
+from carawayhub.agent.handover import PendingHandover
 from carawayhub.agent.homes import Homes
 from carawayhub.agent.keyset import Seat, key_set
 from carawayhub.agent.keytiming import KeyTiming
 from carawayhub.agent.ledger import ENTRY_BYTES, Ledger, LedgerLimits
 from carawayhub.agent.messages import Answer, FenceReply, FenceRequest, Member, RunKey
 from carawayhub.agent.record import answer_bytes
-from carawayhub.agent.tickets import Epochs, TicketOffice
+from carawayhub.agent.tickets import Epochs, TicketCodec
 from carawayhub.clock import ManualClock
 
 SCOPE = "service/booking"
@@ -127,7 +127,7 @@
 
     run_time = _per_call(begin_and_finish, ENTRIES)
     replay_time = _per_call(lambda number: ledger.begin(keys[number], b"d" * 32, 1.0), ENTRIES)
-    office = TicketOffice("secret")
+    office = TicketCodec("secret")
     epochs = Epochs(ManualClock(), "bench-0", 1)
     issue = _per_call(lambda _: office.issue(SCOPE, "patra", "bench-0", 1, 1), 1000)
     text = office.issue(SCOPE, "patra", "bench-0", 1, 1)
@@ -204,7 +204,7 @@
     homes.adopt({SCOPE: keys}, 1)
     ledger = _filled(ENTRIES, BOOKING_ANSWER)
     start = time.process_time()
-    parts = Departure(homes, ledger).pending()
+    parts = PendingHandover(homes, ledger).pending()
     encoded = [msgspec.msgpack.encode(part) for _, part in parts]
     taken = time.process_time() - start
     size = sum(len(part) for part in encoded)
--- a/tests/key_world.py
+++ b/tests/key_world.py
@@ -1,14 +1,14 @@
-"""A world of real ledgers and homes for the search of key histories: no network, no processes.
+"""Simulation with real ledgers and homes for searching key histories, without network or processes.
 
-Idempotency keys, agents in slots, a bag of messages that arrive in any order, twice or never,
-configurations that agents take up when they will, crashes, restarts and planned stops. The world
-counts for each key the tries that may have reached an endpoint.
+Models idempotency keys, agents in slots, messages that arrive in any order, twice or never,
+configurations that agents apply at any time, crashes, restarts and planned stops. Counts for each
+key the attempts that may have reached an endpoint.
 """
 
 from dataclasses import dataclass, field
 
 from carawayhub.agent.begin import Ask, Refuse, Run
-from carawayhub.agent.handover import Departure
+from carawayhub.agent.handover import PendingHandover
 from carawayhub.agent.homes import Homes
 from carawayhub.agent.keyset import KeySet, Seat, key_set
 from carawayhub.agent.keytiming import KeyTiming
@@ -35,15 +35,15 @@
 KEY_TTL = 10.0
 TIMING = KeyTiming(late_arrival=1.0)
 RATES = {"a": 0.99, "b": 1.01, "c": 0.99, "d": 1.01}
-"""Rates of the agents' clocks; their zeros differ as well. The callers' clock is true time."""
+"""Rates of the agents' clocks, whose origins differ too. The callers' clock is true time."""
 
 
 class DoubleRunError(AssertionError):
-    """Two tries of the key may have reached endpoints."""
+    """Two attempts of the key may have reached endpoints."""
 
 
 class FalseNotRunError(AssertionError):
-    """An attempt that may have run was told that it was not run."""
+    """An attempt that may have run was reported as not run."""
 
 
 def key_of(number: int) -> RunKey:
@@ -55,25 +55,25 @@
 
 
 def set_of(names: str) -> KeySet:
-    """Return the set that ``names`` describes, for example ``"a b c-"`` with c leaving."""
+    """Return the key set that ``names`` describes, for example ``"a b c-"`` with c leaving."""
     seats = [Seat(member(name.rstrip("-")), name.endswith("-")) for name in names.split()]
     return key_set(SCOPE, tuple(seats), KEY_TTL)
 
 
 @dataclass(slots=True)
 class Agent:
-    """One incarnation."""
+    """One agent incarnation."""
 
     ledger: Ledger
     homes: Homes
     version: int
-    departure: Departure | None = None
+    pending_handover: PendingHandover | None = None
     stopping: bool = False
 
 
 @dataclass(slots=True)
 class Message:
-    """Something on its way."""
+    """A message in transit."""
 
     to: Member
     body: object
@@ -81,8 +81,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Attempt:
-    """One sending of the key by its caller."""
+class CallerRequest:
+    """One request with the key, sent by its caller."""
 
     key: RunKey
     number: int
@@ -90,8 +90,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Try:
-    """A try that may have reached the endpoint."""
+class LiveAttempt:
+    """An attempt that may have reached the endpoint."""
 
     key: RunKey
     slot: Member
@@ -100,15 +100,15 @@
 
 @dataclass(slots=True)
 class World:
-    """See the module; ``sets`` are the configurations, the first being version 1."""
+    """The simulated fleet; ``sets`` are the configurations, starting with version 1."""
 
     sets: list[KeySet]
     latest: int = 1
     clock: ManualClock = field(default_factory=ManualClock)
     clocks: dict[Member, ManualClock] = field(default_factory=dict)
     agents: dict[Member, Agent] = field(default_factory=dict)
-    bag: list[Message] = field(default_factory=list)
-    live: dict[RunId, Try] = field(default_factory=dict)
+    in_transit: list[Message] = field(default_factory=list)
+    live: dict[RunId, LiveAttempt] = field(default_factory=dict)
     first_sent: dict[RunKey, float] = field(default_factory=dict)
     attempts: int = 0
     incarnations: int = 0
@@ -118,7 +118,7 @@
     gone: set[Member] = field(default_factory=set)
 
     def start(self, slot: Member, version: int) -> None:
-        """Start a new incarnation; the slot's address is free, so none other is alive there."""
+        """Start a new incarnation; the slot's address is free, so no other is running there."""
         assert slot not in self.agents and slot not in self.gone
         self.incarnations += 1
         clock = self.clocks.setdefault(slot, ManualClock(now=1000.0 * len(self.clocks)))
@@ -139,47 +139,47 @@
     def ask(self, slot: Member) -> None:
         """Send a round of fence requests."""
         for peer, request in self.agents[slot].homes.requests(SCOPE):
-            self.bag.append(Message(peer, request, slot))
+            self.in_transit.append(Message(peer, request, slot))
 
     def send(self, key: RunKey, version: int) -> None:
-        """Let the caller send a key, through an entry that stands at ``version``."""
+        """Send a key from the caller, through an entry with configuration ``version``."""
         now = self.clock.monotonic()
         home = self.home(key, version)
         if home is None or now > self.first_sent.setdefault(key, now) + KEY_TTL:
             return
         self.attempts += 1
-        self.bag.append(Message(home, Attempt(key, self.attempts, now)))
+        self.in_transit.append(Message(home, CallerRequest(key, self.attempts, now)))
 
     def home(self, key: RunKey, version: int) -> Member | None:
-        """Return where an entry at ``version`` sends a key."""
+        """Return the agent to which an entry at ``version`` sends a key."""
         return self.sets[version - 1].home(key)
 
     def open_keys(self) -> list[RunKey]:
-        """Return the keys that their caller may still send."""
+        """Return the keys that callers may still send."""
         now = self.clock.monotonic()
         return [key for key, sent in self.first_sent.items() if now <= sent + KEY_TTL]
 
     def deliver(self, place: int, keep: bool = False) -> None:
-        """Deliver one message; ``keep`` leaves a copy on its way."""
-        message = self.bag[place] if keep else self.bag.pop(place)
+        """Deliver one message; ``keep`` leaves a copy in transit."""
+        message = self.in_transit[place] if keep else self.in_transit.pop(place)
         agent = self.agents.get(message.to)
         if agent is not None:
             self._receive(message, agent)
 
     def advance(self, seconds: float) -> None:
-        """Let time pass; attempts that were too long on their way are refused by their stamp."""
+        """Advance the clocks; attempts in transit for too long are rejected by their stamp."""
         self.clock.advance(seconds)
         for slot, clock in self.clocks.items():
             clock.advance(seconds * RATES[slot.endpoint])
         now = self.clock.monotonic()
-        self.bag = [
+        self.in_transit = [
             one
-            for one in self.bag
-            if not isinstance(one.body, Attempt) or now - one.body.sent <= TIMING.late_arrival
+            for one in self.in_transit
+            if not isinstance(one.body, CallerRequest) or now - one.body.sent <= TIMING.late_arrival
         ]
 
     def finishable(self) -> list[RunId]:
-        """Return the tries that still run."""
+        """Return the attempts that still run."""
         return [
             run
             for run, one in self.live.items()
@@ -189,7 +189,7 @@
         ]
 
     def finish(self, run: RunId, sent: bool) -> None:
-        """End a try at its agent."""
+        """End an attempt at its agent."""
         one = self.live[run]
         result = Answer(201) if sent else NotRun(int(Code.CONNECT_FAILED))
         if not self.agents[one.slot].ledger.finish(one.key, run, result):
@@ -199,29 +199,29 @@
             del self.live[run]
 
     def stop(self, slot: Member) -> None:
-        """Go one step on with a planned stop."""
+        """Perform the next step of a planned stop."""
         agent = self.agents[slot]
         agent.homes.close()
         agent.stopping = True
         if agent.ledger.running():
             return
-        if agent.departure is None:
-            agent.departure = Departure(agent.homes, agent.ledger)
-        if agent.departure.finished:
+        if agent.pending_handover is None:
+            agent.pending_handover = PendingHandover(agent.homes, agent.ledger)
+        if agent.pending_handover.finished:
             del self.agents[slot]
             return
-        for receiver, handover in agent.departure.pending():
-            self.bag.append(Message(receiver, handover, slot))
+        for receiver, handover in agent.pending_handover.pending():
+            self.in_transit.append(Message(receiver, handover, slot))
 
     def note_gone(self, slot: Member, at: Member) -> None:
-        """Let the platform's list tell one agent that another's VM has gone."""
+        """Report to one agent, by the platform's list, that another's VM is gone."""
         self.gone.add(slot)
         self.agents[at].homes.note_gone([slot.vm])
 
     def _receive(self, message: Message, agent: Agent) -> None:
         sender = message.sender
         match message.body:
-            case Attempt() as attempt:
+            case CallerRequest() as attempt:
                 self._attempt(attempt, message.to, agent)
             case FenceRequest() as request:
                 self._reply(message, agent.homes.answer(request, agent.ledger))
@@ -236,33 +236,33 @@
                     self._reply(message, agent.homes.take_handover(handover, agent.ledger))
                 except PeerError:
                     return
-            case HandoverTaken() as taken if agent.departure is not None:
+            case HandoverTaken() as taken if agent.pending_handover is not None:
                 if taken.incarnation == agent.homes.incarnation:
-                    agent.departure.taken(taken)
+                    agent.pending_handover.mark_accepted(taken)
         assert sender is None or sender != message.to
 
     def _reply(self, message: Message, body: object) -> None:
         assert message.sender is not None
-        self.bag.append(Message(message.sender, body, message.to))
+        self.in_transit.append(Message(message.sender, body, message.to))
 
-    def _attempt(self, attempt: Attempt, slot: Member, agent: Agent) -> None:
+    def _attempt(self, attempt: CallerRequest, slot: Member, agent: Agent) -> None:
         key = attempt.key
-        gate = agent.homes.admit(key)
-        match agent.ledger.begin(key, b"d", agent.homes.keep_until(key), gate):
+        rejection = agent.homes.admit(key)
+        match agent.ledger.begin(key, b"d", agent.homes.keep_until(key), rejection):
             case Run(run=run):
-                self.live[run] = Try(key, slot, attempt.number)
+                self.live[run] = LiveAttempt(key, slot, attempt.number)
                 self.runs += 1
-                tries = [run for run, one in self.live.items() if one.key == key]
-                if len(tries) > 1:
-                    raise DoubleRunError(f"{key.key}: {tries}")
+                live_attempts = [run for run, one in self.live.items() if one.key == key]
+                if len(live_attempts) > 1:
+                    raise DoubleRunError(f"{key.key}: {live_attempts}")
             case Ask(look_up=question):
-                self.bag.append(Message(question.run.member, question, slot))
+                self.in_transit.append(Message(question.run.member, question, slot))
             case Refuse(code=code):
                 self._check_refusal(attempt, code)
             case _:
                 self.replays += 1
 
-    def _check_refusal(self, attempt: Attempt, code: Code) -> None:
+    def _check_refusal(self, attempt: CallerRequest, code: Code) -> None:
         started = {one.attempt for one in self.live.values()}
         if meaning(code).outcome is Outcome.NOT_RUN and attempt.number in started:
             raise FalseNotRunError(f"attempt {attempt.number}: {code.name}")
--- a/tests/test_key_search.py
+++ b/tests/test_key_search.py
@@ -15,13 +15,13 @@
 A, B = member("a"), member("b")
 
 
-class Walk:
+class RandomHistory:
     """One random history with a fixed seed.
 
     Args:
         seed: Seed of all choices.
         sets: Configurations in their order.
-        false_gone: Whether the platform's list may call a VM gone that lives on, cut off.
+        false_gone: Whether the platform's list may report a VM as gone that runs but is cut off.
     """
 
     STEPS = 70
@@ -54,7 +54,7 @@
         self.world.advance(20.0)
         for slot in self.world.sets[0].members:
             self.world.ask(slot)
-        while self.world.bag:
+        while self.world.in_transit:
             self.world.deliver(0)
 
     def run(self):
@@ -67,9 +67,9 @@
         return self.rng.choice(sorted(self.world.agents)) if self.world.agents else None
 
     def deliver_new(self, first):
-        """Deliver most messages that came into the bag at ``first`` and after, replies too."""
+        """Deliver most messages in transit from index ``first`` onwards, including replies."""
         place = first
-        while place < len(self.world.bag):
+        while place < len(self.world.in_transit):
             if self.rng.random() < self.PROMPT:
                 self.world.deliver(place)
             else:
@@ -78,7 +78,7 @@
     def talk(self):
         slot = self.agent()
         if slot is not None:
-            first = len(self.world.bag)
+            first = len(self.world.in_transit)
             self.world.ask(slot)
             self.deliver_new(first)
 
@@ -89,23 +89,23 @@
         else:
             self.keys += 1
             key = key_of(self.keys)
-        first = len(self.world.bag)
+        first = len(self.world.in_transit)
         self.world.send(key, self.rng.randint(max(1, self.world.latest - 1), self.world.latest))
         self.deliver_new(first)
 
     def deliver(self):
-        if self.world.bag:
-            self.world.deliver(self.rng.randrange(len(self.world.bag)))
+        if self.world.in_transit:
+            self.world.deliver(self.rng.randrange(len(self.world.in_transit)))
 
     def duplicate(self):
-        # Calls of callers are not repeated by the network, only by the callers themselves.
-        places = [i for i, one in enumerate(self.world.bag) if one.sender is not None]
+        # The network does not repeat callers' requests; only the callers retry them.
+        places = [i for i, one in enumerate(self.world.in_transit) if one.sender is not None]
         if places:
             self.world.deliver(self.rng.choice(places), keep=True)
 
     def drop(self):
-        if self.world.bag:
-            self.world.bag.pop(self.rng.randrange(len(self.world.bag)))
+        if self.world.in_transit:
+            self.world.in_transit.pop(self.rng.randrange(len(self.world.in_transit)))
 
     def finish(self):
         running = self.world.finishable()
@@ -140,7 +140,7 @@
         slot = self.rng.choice(stopping) if stopping else self.agent()
         if slot is None:
             return
-        first = len(self.world.bag)
+        first = len(self.world.in_transit)
         self.world.stop(slot)
         self.deliver_new(first)
 
@@ -162,49 +162,49 @@
         self.world.advance(self.rng.choice(self.WAITS))
 
 
-STORIES = {
+SCENARIOS = {
     "join": ["a b", "a b c"],
     "leave": ["a b c", "a- b c", "b c"],
     "migrate": ["a b", "a b c", "a- b c", "b c", "b c d", "a b c d"],
     "abrupt": ["a b c", "b c d", "c d", "a c d"],
     "back": ["a b", "a b c", "a b", "a b c"],
 }
-WALKS = 120
+SEEDS = 120
 
 
-def search(story, seeds, **options):
-    """Walk a story with each seed and count what happened."""
+def search(scenario, seeds, **options):
+    """Run a scenario with each seed and count the events."""
     counts = Counter()
     for seed in seeds:
-        world = Walk(seed, STORIES[story], **options).run()
+        world = RandomHistory(seed, SCENARIOS[scenario], **options).run()
         counts += Counter(runs=world.runs, replays=world.replays)
     return counts
 
 
 class RandomSearchTest(unittest.TestCase):
-    """No history lets a key run twice or calls a run "not run"."""
+    """No history runs a key twice or reports a run as "not run"."""
 
     def test_no_key_runs_twice_in_any_story(self):
-        for story in STORIES:
-            with self.subTest(story):
-                counts = search(story, range(WALKS))
-                self.assertGreater(counts["runs"], WALKS)
-                self.assertGreater(counts["replays"], WALKS)
+        for scenario in SCENARIOS:
+            with self.subTest(scenario):
+                counts = search(scenario, range(SEEDS))
+                self.assertGreater(counts["runs"], SEEDS)
+                self.assertGreater(counts["replays"], SEEDS)
 
     def test_no_key_runs_twice_while_the_platform_calls_live_vms_gone(self):
-        counts = search("leave", range(WALKS), false_gone=True)
-        self.assertGreater(counts["runs"], WALKS)
+        counts = search("leave", range(SEEDS), false_gone=True)
+        self.assertGreater(counts["runs"], SEEDS)
 
 
 class BrokenVariantsTest(unittest.TestCase):
-    """The same search finds a double run once a guard is taken out."""
+    """The same search finds a double run once a safeguard is removed."""
 
-    def assert_found(self, story, *patches):
+    def assert_found(self, scenario, *patches):
         with contextlib.ExitStack() as stack:
             for one in patches:
                 stack.enter_context(one)
             with self.assertRaises(DoubleRunError):
-                search(story, range(400))
+                search(scenario, range(400))
 
     def test_without_the_fence(self):
         self.assert_found(
@@ -221,9 +221,9 @@
         self.assert_found("leave", mock.patch.object(Ledger, "export", lambda *given: ()))
 
     def test_with_homes_by_the_live_view(self):
-        """Each entry sends a key to the best of the agents that it believes alive.
+        """Each entry sends a key to the best of the agents that it considers alive.
 
-        Agents then run whatever they are sent: two entries with two beliefs run a key twice.
+        If agents run every key they receive, two entries with different views run a key twice.
         """
         self.assert_found(
             "join",
@@ -237,11 +237,11 @@
 
 
 class Explorer:
-    """All histories of one key within budgets, each state visited once.
+    """Visits all histories of one key within a budget, each state once.
 
     Args:
-        names: Two sets; the key's home moves from the one to the other.
-        budget: How often each kind of move may be made; moves not named are free.
+        names: Two sets; the key's home differs between them.
+        budget: How often each kind of move may be made; other moves are unlimited.
     """
 
     FREE = "free"
@@ -257,7 +257,7 @@
         self.start.advance(20.0)
         for slot in self.slots:
             self.start.ask(slot)
-        while self.start.bag:
+        while self.start.in_transit:
             self.start.deliver(0)
         self.start.latest = 2
         self.budget = tuple(sorted(budget.items()))
@@ -266,7 +266,7 @@
         """Return the number of states.
 
         Raises:
-            AssertionError: A history breaks a promise.
+            AssertionError: A history violates a guarantee.
         """
         first = (pickle.dumps(self.start), self.budget)
         seen = {hash(first)}
@@ -301,7 +301,7 @@
             for slot in self.slots:
                 if slot not in world.agents:
                     yield "start", "start", slot, version
-        for place, message in enumerate(world.bag):
+        for place, message in enumerate(world.in_transit):
             yield self.FREE, "deliver", place
             if message.sender is not None:
                 yield "duplicate", "deliver", place, True
@@ -311,7 +311,7 @@
 
 
 class ExhaustiveSearchTest(unittest.TestCase):
-    """Every order of the messages of a planned leave with two sendings of one key."""
+    """All message orders of a planned leave in which one key is sent twice."""
 
     LEAVE = ("a b", "a- b")
 
