--- a/benchmarks/capacity_model.py
+++ b/benchmarks/capacity_model.py
@@ -10,7 +10,7 @@
 from benchmarks.capacity_counts import PLANNED, Counts, Size, counts
 from carawayhub.agent.keytiming import KeyTiming
 from carawayhub.agent.ledger import LedgerLimits
-from carawayhub.agent.reporter import POLL_INTERVAL
+from carawayhub.agent.reporter import POLL_INTERVAL_SECONDS
 from carawayhub.config.model import FleetOptions
 from carawayhub.endpoints.watch import EngineWatch
 from carawayhub.entry.process import FULL_MESH
@@ -211,7 +211,7 @@
         role=AGENT,
         what="load and cache events read from the engine",
         module="agent/reporter.py, endpoints/watch.py",
-        rate=len(POLLS) / POLL_INTERVAL,
+        rate=len(POLLS) / POLL_INTERVAL_SECONDS,
         us=slopes["endpoint poll"],
     )
     yield Term(
--- a/carawayhub/agent/checked_rank.py
+++ b/carawayhub/agent/checked_rank.py
@@ -8,7 +8,7 @@
 from carawayhub.groups.orders import Order, Reply
 from carawayhub.groups.ranks import RankPort
 
-CHECK_TIMEOUT = 5.0
+CHECK_TIMEOUT_SECONDS = 5.0
 
 
 class CheckedRank:
@@ -43,7 +43,7 @@
         Raises:
             GroupError: RANK_UNREACHABLE, also where the doubt did not end in time.
         """
-        if not await self._checked(CHECK_TIMEOUT):
+        if not await self._checked(CHECK_TIMEOUT_SECONDS):
             raise GroupError(Code.RANK_UNREACHABLE, "paused: the configuration is not checked yet")
         return await self._port.order(order)
 
--- a/carawayhub/agent/fence.py
+++ b/carawayhub/agent/fence.py
@@ -29,7 +29,7 @@
 from carawayhub.clock import Clock
 from carawayhub.codes import Code
 
-RETRY_AFTER = 1.0
+RETRY_AFTER_SECONDS = 1.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -137,27 +137,27 @@
         self._grounds.enter(key_set)
         self._promises = Promises()
         self._closed.forget_closed()
-        self._settle()
+        self._update_establishment()
 
     def admit(self, key: RunKey) -> Refuse | None:
         """Return why a key without a record may not be run here, none where it may."""
         home = self.key_set.home(key)
         if home != self._member:
             where = "nowhere" if home is None else f"{home.endpoint} at {home.agent}"
-            return Refuse(Code.RUN_HOME_UNREACHABLE, RETRY_AFTER, f"its home is {where}")
+            return Refuse(Code.RUN_HOME_UNREACHABLE, RETRY_AFTER_SECONDS, f"its home is {where}")
         ground = self._grounds.ground(key)
         if ground is None:
-            return self._unfounded()
+            return self._refuse_unconfirmed()
         quarantine = ground - self._clock.monotonic()
         if quarantine > 0:
             return Refuse(Code.RUN_QUARANTINE, quarantine)
         if self.closing:
-            return Refuse(Code.ENDPOINT_LEAVING, RETRY_AFTER)
+            return Refuse(Code.ENDPOINT_LEAVING, RETRY_AFTER_SECONDS)
         return None
 
     def status(self) -> Established | Missing:
         """Say whether the agent is established at its set."""
-        self._settle()
+        self._update_establishment()
         stage = self._grounds.current
         if stage.ground is None or not self._grounds.confirmed(stage.key_set):
             return Missing(self.missing())
@@ -175,7 +175,7 @@
         at the pace of the renewal: one member that cannot be reached must not cost a call to each
         of the others every second.
         """
-        self._settle()
+        self._update_establishment()
         pace = self._timing.renewal(self.key_set.key_ttl) / 2
         oldest = self._clock.monotonic() - pace
         due = [peer for peer in self._required() if self._promises.due(peer, oldest)]
@@ -184,7 +184,7 @@
     def answer(self, request: FenceRequest, ledger: Ledger) -> FenceReply:
         """Promise a peer to run none of its keys from here on, if it stands at the same set."""
         if self._gone.pop(request.sender, None) is not None:
-            self._settle()
+            self._update_establishment()
         if request.digest != self.key_set.digest:
             return FenceRefusal(
                 scope=self._scope,
@@ -195,7 +195,7 @@
             )
         return self._promise(request, ledger)
 
-    def take(self, reply: FenceReply, ledger: Ledger) -> bool:
+    def accept_reply(self, reply: FenceReply, ledger: Ledger) -> bool:
         """Take in a peer's reply.
 
         A reply that is not to a request of this stage is dropped: it may be a late one from an
@@ -209,18 +209,18 @@
             return False
         self._gone.pop(reply.sender, None)
         if not isinstance(reply, FenceAck) or reply.digest != self.key_set.digest:
-            self._settle()
+            self._update_establishment()
             return False
         ledger.absorb(reply.entries)
-        self._hear(reply, sent)
+        self._record_promise(reply, sent)
         for former in reply.formers:
             self._learn_former(former)
         for member in {*reply.gone} & {*self.missing()}:
             self._gone[member] = self._clock.monotonic()
-        self._settle()
+        self._update_establishment()
         return True
 
-    def take_handover(self, handover: Handover) -> None:
+    def record_handover(self, handover: Handover) -> None:
         """Note that a peer hands its ledger over and stops."""
         if handover.digest == self.key_set.digest:
             until = self._clock.monotonic() + handover.quarantine
@@ -229,7 +229,7 @@
     def note_gone(self, member: Member) -> None:
         """Take in that the platform's list says that the member's VM is gone."""
         self._gone.setdefault(member, self._clock.monotonic())
-        self._settle()
+        self._update_establishment()
 
     def quarantine(self) -> float:
         """Return the seconds for which keys that this agent has no entry of may have run."""
@@ -238,7 +238,7 @@
         until = own if latest is None else max(own, latest)
         return max(0.0, until - self._clock.monotonic())
 
-    def _unfounded(self) -> Refuse:
+    def _refuse_unconfirmed(self) -> Refuse:
         """Return why nothing vouches for a key.
 
         Where all have promised, a majority lacks because the members have lost their memory, as
@@ -250,12 +250,12 @@
         if not missing and quarantine > 0:
             return Refuse(Code.RUN_QUARANTINE, quarantine)
         waiting = f"waiting for {missing or 'a majority'}"
-        return Refuse(Code.RUN_HOME_UNREACHABLE, RETRY_AFTER, waiting)
+        return Refuse(Code.RUN_HOME_UNREACHABLE, RETRY_AFTER_SECONDS, waiting)
 
     def _promise(self, request: FenceRequest, ledger: Ledger) -> FenceAck:
         now = self._clock.monotonic()
         closed = self._closed.hear(request.sender, request.incarnation)
-        wanted = _KeptBy(self.key_set, request.sender)
+        wanted = _HasHome(self.key_set, request.sender)
         self._drop_expired()
         return FenceAck(
             scope=self._scope,
@@ -287,7 +287,7 @@
             holds=peer in self._promises.made,
         )
 
-    def _hear(self, ack: FenceAck, sent: float) -> None:
+    def _record_promise(self, ack: FenceAck, sent: float) -> None:
         if ack.remembers:
             self._grounds.confirm(ack.sender, sent)
         self._promises.hear(ack, sent, self._clock.monotonic())
@@ -299,7 +299,7 @@
         members = (*self.key_set.members, *self._formers.members)
         return tuple(member for member in members if member != self._member)
 
-    def _settle(self) -> None:
+    def _update_establishment(self) -> None:
         """Work out anew whether the present stage is established."""
         self._drop_expired()
         stage = self._grounds.current
@@ -352,7 +352,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _KeptBy:
+class _HasHome:
     """Picks the keys whose home is one member."""
 
     key_set: KeySet
--- a/carawayhub/agent/follower.py
+++ b/carawayhub/agent/follower.py
@@ -6,7 +6,7 @@
 from anyio.abc import TaskGroup
 
 from carawayhub.addresses import Address
-from carawayhub.agent.grouptask import Seat
+from carawayhub.agent.grouptask import LocalAgent
 from carawayhub.agent.reporter import Reporter
 from carawayhub.config.leaders import group_leaders
 from carawayhub.config.model import Configuration
@@ -15,7 +15,7 @@
 from carawayhub.peers.messages import StandingReply, StandingRequest
 from carawayhub.peers.methods import STANDING
 
-ASK_INTERVAL = 1.0
+POLL_INTERVAL_SECONDS = 1.0
 ANSWER_TIMEOUT = 1.0
 FAILURES_UNTIL_UNKNOWN = 3
 
@@ -43,10 +43,12 @@
         tasks: Where the asking runs.
     """
 
-    __slots__ = ("_calls", "_leader", "_reporter", "_scope", "_seat", "_tasks")
+    __slots__ = ("_calls", "_leader", "_reporter", "_scope", "_local_agent", "_tasks")
 
-    def __init__(self, seat: Seat, calls: CallClient, reporter: Reporter, tasks: TaskGroup) -> None:
-        self._seat = seat
+    def __init__(
+        self, local_agent: LocalAgent, calls: CallClient, reporter: Reporter, tasks: TaskGroup
+    ) -> None:
+        self._local_agent = local_agent
         self._calls = calls
         self._reporter = reporter
         self._tasks = tasks
@@ -55,7 +57,7 @@
 
     def configured(self, cfg: Configuration) -> None:
         """Begin, change or end the asking as a version that came into force says."""
-        name = group_leaders(cfg).get(self._seat.endpoint)
+        name = group_leaders(cfg).get(self._local_agent.endpoint)
         leader = None if name is None else _Leader(name, Address.parse(cfg.endpoints[name].agent))
         if leader == self._leader:
             return
@@ -66,14 +68,14 @@
             self._reporter.set_out_of_step("")
         if leader is not None:
             self._scope = anyio.CancelScope()
-            self._tasks.start_soon(self._follow, leader, self._scope)
+            self._tasks.start_soon(self._poll_until_cancelled, leader, self._scope)
 
-    async def _follow(self, leader: _Leader, scope: anyio.CancelScope) -> None:
+    async def _poll_until_cancelled(self, leader: _Leader, scope: anyio.CancelScope) -> None:
         failures = 0
         with scope:
             while True:
                 try:
-                    reason = await self._ask(leader)
+                    reason = await self._poll_leader(leader)
                 except PeerError:
                     failures += 1
                     if failures == FAILURES_UNTIL_UNKNOWN:
@@ -81,9 +83,9 @@
                 else:
                     failures = 0
                     self._reporter.set_out_of_step(reason)
-                await anyio.sleep(ASK_INTERVAL)
+                await anyio.sleep(POLL_INTERVAL_SECONDS)
 
-    async def _ask(self, leader: _Leader) -> str:
+    async def _poll_leader(self, leader: _Leader) -> str:
         request = StandingRequest(endpoint=leader.name)
         reply: StandingReply = await self._calls.call(
             leader.address, STANDING, request, ANSWER_TIMEOUT
--- a/carawayhub/agent/grouptask.py
+++ b/carawayhub/agent/grouptask.py
@@ -26,16 +26,16 @@
 from carawayhub.peers.messages import ServingState, StandingReply, StandingRequest
 from carawayhub.process.status import GroupStatusRow
 
-WATCH_INTERVAL = 0.25
-CHECK_WAIT = 60.0
-HANDOVER_GRACE = 2.0
-GIVER_HEADER = "carawayhub-giver"
-UNLEASED_REASON = "too few witnesses confirm that its agent decides for it"
+WATCH_INTERVAL_SECONDS = 0.25
+CHECK_WAIT_SECONDS = 60.0
+HANDOVER_GRACE_SECONDS = 2.0
+ISSUER_HEADER = "carawayhub-giver"
+NO_LEASE_REASON = "too few witnesses confirm that its agent decides for it"
 PAUSED_REASON = "its agent was paused and has not checked its configuration since"
 
 
 @dataclass(frozen=True, slots=True)
-class Seat:
+class LocalAgent:
     """Which agent this is.
 
     Attributes:
@@ -92,14 +92,14 @@
         "_reporter",
         "_rng",
         "_scope",
-        "_seat",
+        "_local_agent",
         "_status",
         "_tasks",
     )
 
     def __init__(
         self,
-        seat: Seat,
+        local_agent: LocalAgent,
         paused: Callable[[], bool],
         checked: Callable[[float], Awaitable[bool]],
         lease: LeaseKeeper,
@@ -109,7 +109,7 @@
         audit: AuditTrail,
         tasks: TaskGroup,
     ) -> None:
-        self._seat = seat
+        self._local_agent = local_agent
         self._paused = paused
         self._checked = checked
         self._lease = lease
@@ -125,26 +125,26 @@
 
     def configured(self, cfg: Configuration) -> None:
         """Begin, change or end the task as a version that came into force says."""
-        plan = _plan(cfg, self._seat)
+        plan = _plan(cfg, self._local_agent)
         self._lease.configured(cfg, None if plan is None else plan.group)
-        self._draining = plan is not None and _drains(cfg, plan.group)
+        self._draining = plan is not None and _is_draining(cfg, plan.group)
         if plan == self._plan:
             return
         before, self._plan = self._plan, plan
-        goes_on = before is not None and plan is not None and before.urls == plan.urls
-        goes_on = goes_on and self._status is not None and self._status.formed
+        continues = before is not None and plan is not None and before.urls == plan.urls
+        continues = continues and self._status is not None and self._status.formed
         decides_for = "" if plan is None else plan.group.name
         logger.bind(version=cfg.version, group=decides_for).info("decider begins or ends")
         if self._scope is not None:
             self._scope.cancel()
             self._scope = None
         self._status = None
-        if not goes_on:
+        if not continues:
             first = "the ranks of its group are not in one formation yet"
             self._reporter.set_out_of_step("" if plan is None else first)
         if plan is not None:
             self._scope = anyio.CancelScope()
-            silent = self._clock.monotonic() + (HANDOVER_GRACE if goes_on else 0.0)
+            silent = self._clock.monotonic() + (HANDOVER_GRACE_SECONDS if continues else 0.0)
             self._tasks.start_soon(self._decide, cfg, plan, self._scope, silent)
 
     def rows(self) -> tuple[GroupStatusRow, ...]:
@@ -158,26 +158,34 @@
             skew=status.skew,
             decision=status.changing or status.decision,
             reason=status.reason,
-            out_of_routing=self._why_out_of_step(status),
+            out_of_routing=self._out_of_step_reason(status),
         )
         return (row,)
 
     async def standing(self, sender: str, req: StandingRequest) -> StandingReply:
         """Answer an agent beside other ranks of the group that asks whether it can step."""
-        if self._plan is None or req.endpoint != self._seat.endpoint:
+        if self._plan is None or req.endpoint != self._local_agent.endpoint:
             return StandingReply()
         return StandingReply(out_of_step=self._reporter.out_of_step)
 
     async def _decide(
-        self, cfg: Configuration, plan: _Plan, scope: anyio.CancelScope, silent_until: float
+        self,
+        cfg: Configuration,
+        plan: _Plan,
+        scope: anyio.CancelScope,
+        report_not_formed_after: float,
     ) -> None:
         group = plan.group
-        clients = rank_clients(plan, self._seat, self._may_send)
+        clients = rank_clients(plan, self._local_agent, self._may_send)
         ports: list[RankPort] = [
             LeasedRank(CheckedRank(client, self._checked), self._lease.valid) for client in clients
         ]
         signals = _Signals(
-            plan, self._reporter, self._checked, self._lease.held, lambda: self._draining
+            plan,
+            self._reporter,
+            self._checked,
+            self._lease.wait_until_valid,
+            lambda: self._draining,
         )
         decider = GroupDecider(
             group,
@@ -195,7 +203,7 @@
             try:
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(decider.run)
-                    tasks.start_soon(self._follow, decider.status, silent_until)
+                    tasks.start_soon(self._report_status, decider.status, report_not_formed_after)
             finally:
                 with anyio.CancelScope(shield=True):
                     await signals.close()
@@ -205,42 +213,42 @@
     def _may_send(self) -> bool:
         return self._lease.valid() and not self._paused()
 
-    async def _follow(self, status: GroupStatus, silent_until: float) -> None:
+    async def _report_status(self, status: GroupStatus, report_not_formed_after: float) -> None:
         """Keep the report in line with the decider's view of the group.
 
         A decider that replaces one of a formed group, as when a weight was changed, has not read
         the ranks yet: until ``silent_until`` it does not take the group out of routing.
         """
         while True:
-            if status.formed or self._clock.monotonic() >= silent_until:
+            if status.formed or self._clock.monotonic() >= report_not_formed_after:
                 self._reporter.map_number = status.map_number
                 self._reporter.skew = status.skew
-                self._reporter.set_out_of_step(self._why_out_of_step(status))
-            await anyio.sleep(WATCH_INTERVAL)
+                self._reporter.set_out_of_step(self._out_of_step_reason(status))
+            await anyio.sleep(WATCH_INTERVAL_SECONDS)
 
-    def _why_out_of_step(self, status: GroupStatus) -> str:
+    def _out_of_step_reason(self, status: GroupStatus) -> str:
         if status.formed:
             return ""
         if not self._lease.valid():
-            return UNLEASED_REASON
-        return PAUSED_REASON if self._paused() else _why_not_formed(status)
+            return NO_LEASE_REASON
+        return PAUSED_REASON if self._paused() else _not_formed_reason(status)
 
 
 class _Signals:
     """What this agent knows of its group; see ``GroupSignals``."""
 
-    __slots__ = ("_checked", "_counters", "_draining", "_held", "_plan", "_reporter")
+    __slots__ = ("_checked", "_counters", "_draining", "_wait_until_valid", "_plan", "_reporter")
 
     def __init__(
         self,
         plan: _Plan,
         reporter: Reporter,
         checked: Callable[[float], Awaitable[bool]],
-        held: Callable[[], Awaitable[None]],
+        wait_until_valid: Callable[[], Awaitable[None]],
         draining: Callable[[], bool],
     ) -> None:
         self._checked = checked
-        self._held = held
+        self._wait_until_valid = wait_until_valid
         self._draining = draining
         self._plan = plan
         self._reporter = reporter
@@ -252,7 +260,7 @@
         A decision follows at once. A paused agent may have been replaced, or its group changed, so
         it waits here until it has checked its configuration; a new one ends the decider.
         """
-        while not await self._checked(CHECK_WAIT):
+        while not await self._checked(CHECK_WAIT_SECONDS):
             pass
         return await self._counters.read()
 
@@ -269,41 +277,43 @@
 
     async def permitted(self) -> None:
         """Return once this agent may give orders."""
-        await self._held()
+        await self._wait_until_valid()
 
     async def close(self) -> None:
         """Close connections."""
         await self._counters.close()
 
 
-def led_group(cfg: Configuration, seat: Seat) -> ModelGroup | None:
+def led_group(cfg: Configuration, local_agent: LocalAgent) -> ModelGroup | None:
     """Return the lock-step group whose rank 0 an agent's endpoint holds, None for none.
 
     A group of a single rank has nothing to agree on and needs no decider. An agent at another
     address than the configuration names is that of a VM that was replaced: it decides nothing.
     """
     for group in cfg.groups.values():
-        if group.ranks > 1 and group.endpoints[0] == seat.endpoint:
-            return group if cfg.endpoints[seat.endpoint].agent == seat.address else None
+        if group.ranks > 1 and group.endpoints[0] == local_agent.endpoint:
+            return (
+                group if cfg.endpoints[local_agent.endpoint].agent == local_agent.address else None
+            )
     return None
 
 
-def rank_clients(plan: _Plan, seat: Seat, may_send: MaySend) -> list[HttpRank]:
+def rank_clients(plan: _Plan, local_agent: LocalAgent, may_send: MaySend) -> list[HttpRank]:
     """Return a client of each rank; ranks are spread evenly over the endpoints, in order.
 
     Each order names its giver, for engines that check who gives it.
     """
     ranks = plan.group.ranks
     each = ranks // len(plan.urls)
-    headers = {GIVER_HEADER: seat.endpoint}
+    headers = {ISSUER_HEADER: local_agent.endpoint}
     return [
-        HttpRank(plan.urls[rank // each], rank, headers, seat.source, may_send)
+        HttpRank(plan.urls[rank // each], rank, headers, local_agent.source, may_send)
         for rank in range(ranks)
     ]
 
 
-def _plan(cfg: Configuration, seat: Seat) -> _Plan | None:
-    group = led_group(cfg, seat)
+def _plan(cfg: Configuration, local_agent: LocalAgent) -> _Plan | None:
+    group = led_group(cfg, local_agent)
     if group is None:
         return None
     sharing = sum(each.ranks > 1 for each in cfg.groups.values())
@@ -317,11 +327,11 @@
     return _Plan(group, urls, options, cfg.fleet.gain_horizon)
 
 
-def _drains(cfg: Configuration, group: ModelGroup) -> bool:
+def _is_draining(cfg: Configuration, group: ModelGroup) -> bool:
     return any(cfg.endpoints[name].state is EndpointState.LEAVING for name in group.endpoints)
 
 
-def _why_not_formed(status: GroupStatus) -> str:
+def _not_formed_reason(status: GroupStatus) -> str:
     if status.lost_ranks:
         return f"ranks {', '.join(map(str, status.lost_ranks))} of its group do not answer"
     return "the ranks of its group are not in one formation"
--- a/carawayhub/agent/homes.py
+++ b/carawayhub/agent/homes.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 from carawayhub.agent.begin import Refuse
-from carawayhub.agent.fence import RETRY_AFTER, Established, Fence, Missing
+from carawayhub.agent.fence import RETRY_AFTER_SECONDS, Established, Fence, Missing
 from carawayhub.agent.keyset import KeySet, KeySets, key_set
 from carawayhub.agent.keytiming import KeyTiming
 from carawayhub.agent.ledger import Ledger
@@ -92,7 +92,9 @@
         """
         fence = self._fences.get(key.scope)
         if fence is None:
-            return Refuse(Code.RUN_HOME_UNREACHABLE, RETRY_AFTER, f"{key.scope} is not known here")
+            return Refuse(
+                Code.RUN_HOME_UNREACHABLE, RETRY_AFTER_SECONDS, f"{key.scope} is not known here"
+            )
         return fence.admit(key)
 
     def key_ttl(self, scope: str) -> float:
@@ -144,7 +146,7 @@
 
     def take(self, reply: FenceReply, ledger: Ledger) -> bool:
         """Take in a peer's reply; return whether it was a promise that counts."""
-        return self._fence(reply.scope).take(reply, ledger)
+        return self._fence(reply.scope).accept_reply(reply, ledger)
 
     def take_handover(self, handover: Handover, ledger: Ledger) -> HandoverTaken:
         """Take over a part of the ledger of an agent that stops.
@@ -156,7 +158,7 @@
         if self._closing:
             raise PeerError(Code.PEER_SILENT, f"{self.member.endpoint} is stopping as well")
         ledger.absorb(handover.entries)
-        self._fence(handover.scope).take_handover(handover)
+        self._fence(handover.scope).record_handover(handover)
         return HandoverTaken(
             scope=handover.scope,
             receiver=self.member,
--- a/carawayhub/agent/leasekeeper.py
+++ b/carawayhub/agent/leasekeeper.py
@@ -14,10 +14,10 @@
 from carawayhub.peers.methods import LEASE
 from carawayhub.peers.signal import Signal
 
-RENEW_SECONDS = 1.0
+RENEW_INTERVAL_SECONDS = 1.0
 """Seconds between two askings of a lease that is valid: a third of what it lasts."""
 
-SEEK_SECONDS = 0.25
+ACQUIRE_INTERVAL_SECONDS = 0.25
 """Seconds between two askings without a valid lease, when callers may wait for a change."""
 
 ANSWER_TIMEOUT = 0.8
@@ -38,7 +38,7 @@
         "_calls",
         "_changed",
         "_clock",
-        "_gained",
+        "_acquired",
         "_group",
         "_holder",
         "_lease",
@@ -53,7 +53,7 @@
         self._clock = clock
         self._rng = rng
         self._changed = Signal()
-        self._gained = Signal()
+        self._acquired = Signal()
         self._group = ""
         self._lease = Lease(clock, ())
         self._witnesses: tuple[Witness, ...] = ()
@@ -76,10 +76,10 @@
         """Return whether an order may be given now."""
         return self._lease.valid
 
-    async def held(self) -> None:
+    async def wait_until_valid(self) -> None:
         """Return once an order may be given."""
         while not self._lease.valid:
-            await self._gained.wait()
+            await self._acquired.wait()
 
     async def run(self) -> None:
         """Seek and renew the lease until cancelled."""
@@ -91,8 +91,8 @@
             async with anyio.create_task_group() as tasks:
                 for each in self._witnesses:
                     tasks.start_soon(self._ask, each)
-            self._note_change()
-            pause = RENEW_SECONDS if self._lease.valid else SEEK_SECONDS
+            self._log_change()
+            pause = RENEW_INTERVAL_SECONDS if self._lease.valid else ACQUIRE_INTERVAL_SECONDS
             due_at = began_at + self._rng.uniform(0.8 * pause, pause)
             with anyio.move_on_after(max(0.0, due_at - self._clock.monotonic())):
                 await self._changed.wait()
@@ -110,9 +110,9 @@
             return
         lease.heard(witness.name, asked_at, reply.named_seconds)
         if lease.valid:
-            self._gained.notify()
+            self._acquired.notify()
 
-    def _note_change(self) -> None:
+    def _log_change(self) -> None:
         valid = self._lease.valid
         if valid == self._was_valid:
             return
--- a/carawayhub/agent/process.py
+++ b/carawayhub/agent/process.py
@@ -10,7 +10,7 @@
 from carawayhub.addresses import Address
 from carawayhub.agent.follower import GroupFollower
 from carawayhub.agent.gate import Gate
-from carawayhub.agent.grouptask import GroupTask, Seat
+from carawayhub.agent.grouptask import GroupTask, LocalAgent
 from carawayhub.agent.homes import Homes
 from carawayhub.agent.keys import KeyKeeper
 from carawayhub.agent.leasekeeper import LeaseKeeper
@@ -46,8 +46,8 @@
 from carawayhub.process.status import EndpointStatus, ProcessStatus
 from carawayhub.settings import AgentSettings
 
-DRAIN_POLL = 0.05
-HANDOVER_BOUND = 10.0
+DRAIN_POLL_SECONDS = 0.05
+HANDOVER_TIMEOUT_SECONDS = 10.0
 
 
 class AgentProcess:
@@ -85,12 +85,12 @@
             tasks,
         )
         source = Address.parse(settings.peer_listen).host
-        seat = Seat(identity.name, identity.address, source)
-        self._follower = GroupFollower(seat, member.calls, self._reporter, tasks)
+        local_agent = LocalAgent(identity.name, identity.address, source)
+        self._follower = GroupFollower(local_agent, member.calls, self._reporter, tasks)
         holder = Holder(identity.name, identity.address, identity.vm)
         self._lease = LeaseKeeper(holder, member.calls, clock, runtime.rng)
         self._group = GroupTask(
-            seat,
+            local_agent,
             member.knowledge.pauses.check,
             member.knowledge.checked,
             self._lease,
@@ -112,7 +112,7 @@
             tasks.start_soon(self._keys.run)
             tasks.start_soon(self._lease.run)
             tasks.start_soon(operators.run)
-            await self._stop_in_order()
+            await self._drain_and_stop()
             tasks.cancel_scope.cancel()
         await self._upstream.close()
 
@@ -124,7 +124,7 @@
     async def _run_once(self, sender: str, req: RunRequest) -> RunReply:
         return await self._gate.run(sender, req)
 
-    async def _stop_in_order(self) -> None:
+    async def _drain_and_stop(self) -> None:
         """End the process so that no request is cut and no key forgotten.
 
         New work stops at once, also from entries that have not heard: their permits run out. What
@@ -139,8 +139,8 @@
         permit = runtime.member.knowledge.fleet.permit_ttl
         await anyio.sleep(permit + runtime.member.heartbeat_interval())
         while self._busy():
-            await anyio.sleep(DRAIN_POLL)
-        whole = await self._keys.hand_over(runtime.clock.monotonic() + HANDOVER_BOUND)
+            await anyio.sleep(DRAIN_POLL_SECONDS)
+        whole = await self._keys.hand_over(runtime.clock.monotonic() + HANDOVER_TIMEOUT_SECONDS)
         reason = "all work has ended" if whole else "handover not taken by all; keys stay unknown"
         runtime.audit.record(Subject.PROCESS, runtime.identity.key, "leaving", "stopped", reason)
 
@@ -148,7 +148,7 @@
         load = self._reporter.load
         return self._ledger.running() > 0 or load.running > 0 or load.queued > 0
 
-    def _follow(self, cfg: Configuration, endpoint: Endpoint) -> None:
+    def _watch_endpoint(self, cfg: Configuration, endpoint: Endpoint) -> None:
         """Watch the endpoint at the address that the configuration gives."""
         wanted = (endpoint.url, is_engine(cfg, endpoint))
         if wanted == self._watched:
@@ -183,7 +183,7 @@
         self._follower.configured(cfg)
         endpoint = cfg.endpoints.get(self.runtime.identity.name)
         if endpoint is not None:
-            self._follow(cfg, endpoint)
+            self._watch_endpoint(cfg, endpoint)
 
     async def peers(self, cfg: Configuration, vms: VmList | None) -> Sequence[WantedPeer]:
         """Return no peers: entries open the links."""
--- a/carawayhub/agent/reporter.py
+++ b/carawayhub/agent/reporter.py
@@ -14,10 +14,10 @@
 from carawayhub.peers.messages import CacheEvents, EndpointReport, Hello, ServingState
 from carawayhub.platform.ports import VmList, VmState
 
-POLL_INTERVAL = 0.5
-FAILED_POLL_INTERVAL = 0.25
+POLL_INTERVAL_SECONDS = 0.5
+FAILED_POLL_INTERVAL_SECONDS = 0.25
 FAILURES_UNTIL_FAILED = 3
-EVENTS_KEPT = 2048
+MAX_KEPT_EVENTS = 2048
 
 
 @dataclass(slots=True)
@@ -37,16 +37,16 @@
     stop: bool = False
 
     def reason(self) -> str:
-        named = (
+        sources = (
             (self.configuration, "the configuration says so"),
             (self.vm_list, "the VM list says so"),
             (self.stop, "its agent is stopping"),
         )
-        return ", ".join(text for said, text in named if said)
+        return ", ".join(text for applies, text in sources if applies)
 
 
 @dataclass(slots=True)
-class _Heard:
+class _LatestLoad:
     """The latest load and when it was heard."""
 
     load: Load = field(default_factory=Load)
@@ -82,7 +82,7 @@
         self._audit = audit
         self._announce = announce
         self._leaving = _LeavingSources()
-        self._heard = _Heard()
+        self._latest_load = _LatestLoad()
         self._cfg: Configuration | None = None
         self._events: list[CacheChange] = []
         self._standing = Standing(ServingState.STARTING, "it has not been heard yet")
@@ -105,54 +105,54 @@
     @property
     def load(self) -> Load:
         """The load that was heard last."""
-        return self._heard.load
+        return self._latest_load.load
 
     def configured(self, cfg: Configuration) -> None:
         """Take a version into force; an endpoint that it does not name is leaving."""
         self._cfg = cfg
         found = cfg.endpoints.get(self._endpoint)
         self._leaving.configuration = found is None or found.state is EndpointState.LEAVING
-        self._settle()
+        self._update_standing()
 
     def listed(self, vms: VmList) -> None:
         """Take the platform's list; a VM that it does not have may just be too new."""
         states = {vm.name: vm.state for vm in vms.vms}
         self._leaving.vm_list = states.get(self._vm) is VmState.LEAVING
-        self._settle()
+        self._update_standing()
 
     def stopping(self) -> None:
         """Note that the agent was asked to stop."""
         self._leaving.stop = True
-        self._settle()
+        self._update_standing()
 
     def set_out_of_step(self, reason: str) -> None:
         """Take the endpoint out of routing while its group cannot step, with the reason."""
         self.out_of_step = reason
-        self._settle()
+        self._update_standing()
 
     async def poll(self, watch: EndpointWatch) -> None:
         """Ask the endpoint for load and cache events until cancelled."""
         after = 0
         while True:
-            pause = POLL_INTERVAL
+            pause = POLL_INTERVAL_SECONDS
             try:
                 load = await watch.load()
                 changes = await watch.cache_changes(after)
             except PlatformError as exc:
                 self._failed(exc)
-                pause = FAILED_POLL_INTERVAL
+                pause = FAILED_POLL_INTERVAL_SECONDS
             else:
-                self._heard = _Heard(load, self._clock.monotonic(), 0)
-                self._events = [*self._events, *changes][-EVENTS_KEPT:]
+                self._latest_load = _LatestLoad(load, self._clock.monotonic(), 0)
+                self._events = [*self._events, *changes][-MAX_KEPT_EVENTS:]
                 after = changes[-1].number if changes else after
-                self._settle()
+                self._update_standing()
             await anyio.sleep(pause)
 
     def report(self, peer: Hello, epoch: int) -> EndpointReport:
         """Return the report for one entry."""
         fleet = FleetOptions() if self._cfg is None else self._cfg.fleet
         serving = self._standing.state is ServingState.SERVING
-        load = self._heard.load
+        load = self._latest_load.load
         return EndpointReport(
             endpoint=self._endpoint,
             incarnation=self._incarnation,
@@ -161,18 +161,18 @@
             running=max(load.running, self.gate_running),
             queued=load.queued,
             capacity=max(load.capacity, 1),
-            load_age=self._clock.monotonic() - self._heard.at,
+            load_age=self._clock.monotonic() - self._latest_load.at,
             step_seconds=load.step_seconds,
             tokens_rate=load.tokens_rate,
             ticket_epoch=epoch,
             map_number=self.map_number,
             skew=self.skew,
             reason=self._standing.reason,
-            cache=self._news(peer),
+            cache=self._unsent_cache_events(peer),
             reading=self._clock.monotonic(),
         )
 
-    def _news(self, peer: Hello) -> CacheEvents:
+    def _unsent_cache_events(self, peer: Hello) -> CacheEvents:
         """Return the cache events that this peer was not sent yet, as far as they are in order.
 
         Events are sent once: the link keeps order and loses none while it stands, and a peer that
@@ -192,13 +192,13 @@
         )
 
     def _failed(self, exc: PlatformError) -> None:
-        self._heard.failures += 1
-        if self._heard.failures == FAILURES_UNTIL_FAILED:
+        self._latest_load.failures += 1
+        if self._latest_load.failures == FAILURES_UNTIL_FAILED:
             logger.bind(endpoint=self._endpoint).warning("the endpoint does not answer: {}", exc)
-        self._settle()
+        self._update_standing()
 
-    def _settle(self) -> None:
-        standing = self._judge()
+    def _update_standing(self) -> None:
+        standing = self._current_standing()
         before = self._standing
         if standing == before:
             return
@@ -213,13 +213,13 @@
             )
             self._announce()
 
-    def _judge(self) -> Standing:
+    def _current_standing(self) -> Standing:
         leaving = self._leaving.reason()
         if leaving:
             return Standing(ServingState.LEAVING, leaving)
         if self._cfg is None:
             return Standing(ServingState.STARTING, "no configuration is in force yet")
-        if self._heard.failures >= FAILURES_UNTIL_FAILED:
+        if self._latest_load.failures >= FAILURES_UNTIL_FAILED:
             return Standing(ServingState.FAILED, "it does not answer")
         if self.out_of_step:
             return Standing(ServingState.FAILED, self.out_of_step)
--- a/carawayhub/agent/vmwatch.py
+++ b/carawayhub/agent/vmwatch.py
@@ -10,7 +10,7 @@
 from carawayhub.clock import Clock
 
 ABSENT_SECONDS = 60.0
-LEAST_SHARE = 0.8
+MIN_LISTED_SHARE = 0.8
 
 
 class VmWatch:
@@ -21,25 +21,25 @@
         absent_seconds: Time for which a VM must be missing.
     """
 
-    __slots__ = ("_absent", "_absent_seconds", "_clock", "_listed", "_trusted")
+    __slots__ = ("_absent", "_absent_seconds", "_clock", "_listed", "_accepted_count")
 
     def __init__(self, clock: Clock, absent_seconds: float = ABSENT_SECONDS) -> None:
         self._clock = clock
         self._absent_seconds = absent_seconds
         self._listed: set[str] = set()
         self._absent: dict[str, float] = {}
-        self._trusted = 0
+        self._accepted_count = 0
 
     def observe(self, names: Iterable[str]) -> tuple[str, ...]:
         """Take in a list that was read; return the VMs that count as gone by now."""
         now = self._clock.monotonic()
         listed = set(names)
-        if len(listed) < LEAST_SHARE * self._trusted:
+        if len(listed) < MIN_LISTED_SHARE * self._accepted_count:
             # A list that lost many names at once is more likely wrong than right, and stays so
             # until it has recovered: an old copy may be served for hours.
             self._absent = {}
             return ()
-        self._trusted = len(listed)
+        self._accepted_count = len(listed)
         self._listed |= listed
         self._absent = {name: self._absent.get(name, now) for name in sorted(self._listed - listed)}
         gone = tuple(
--- a/tests/test_groups_agent.py
+++ b/tests/test_groups_agent.py
@@ -6,7 +6,7 @@
 import anyio
 
 from carawayhub.agent.checked_rank import CheckedRank, LeasedRank
-from carawayhub.agent.grouptask import Seat, led_group
+from carawayhub.agent.grouptask import LocalAgent, led_group
 from carawayhub.codes import Code
 from carawayhub.endpoints.counters import EngineCounters
 from carawayhub.entry.reports import Reports
@@ -134,17 +134,17 @@
         self.address = cfg.endpoints[self.first].agent
 
     def test_only_the_agent_beside_rank_0_decides(self) -> None:
-        led = led_group(self.cfg, Seat(self.first, self.address))
+        led = led_group(self.cfg, LocalAgent(self.first, self.address))
         self.assertEqual(led, self.cfg.groups["wide"])
         second = self.cfg.endpoints[self.second].agent
-        self.assertIsNone(led_group(self.cfg, Seat(self.second, second)))
+        self.assertIsNone(led_group(self.cfg, LocalAgent(self.second, second)))
 
     def test_the_agent_of_a_replaced_vm_decides_nothing(self) -> None:
         """Two agents of one endpoint's name run, since its VM was replaced and the old one woke.
 
         The configuration names the new agent's address.
         """
-        self.assertIsNone(led_group(self.cfg, Seat(self.first, "10.9.9.9:7000")))
+        self.assertIsNone(led_group(self.cfg, LocalAgent(self.first, "10.9.9.9:7000")))
 
     def test_no_ticket_names_an_endpoint_whose_group_cannot_step(self) -> None:
         """A caller gets a ticket for an endpoint whose own agent is content, and waits there."""
