--- a/carawayhub/agent/__init__.py
+++ b/carawayhub/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent process beside an endpoint: gate, ledger, reports and orders."""
+"""The agent beside an endpoint: request gate, key ledger, reports and orders to ranks."""
--- a/carawayhub/agent/begin.py
+++ b/carawayhub/agent/begin.py
@@ -1,4 +1,4 @@
-"""What the ledger answers when a request asks to be run."""
+"""Outcomes of ``Ledger.begin``: what to do with a request that is to be run."""
 
 from dataclasses import dataclass
 
@@ -10,18 +10,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Run:
-    """Run it now, and tell ``Ledger.finish`` how it ended."""
+    """Run the request now and pass its outcome to ``Ledger.finish``."""
 
     run: RunId
 
 
 @dataclass(slots=True, frozen=True)
 class Replay:
-    """It ran; this is its answer.
+    """The request has run before; return the kept answer.
 
     Attributes:
         answer: The endpoint's answer.
-        remaining: Seconds for which the answer is still kept.
+        remaining: Remaining seconds for which the answer is kept.
     """
 
     answer: Answer
@@ -30,26 +30,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Wait:
-    """It runs here now; begin again once ``done`` is set, or answer RUN_STILL_RUNNING."""
+    """The request is running here; retry when ``done`` is set, or answer RUN_STILL_RUNNING."""
 
     done: anyio.Event
 
 
 @dataclass(slots=True, frozen=True)
 class Ask:
-    """Another agent began it; ask that one, give the reply to ``Ledger.resolve``, begin again."""
+    """Another agent started the request; pass its reply to ``Ledger.resolve``, then retry."""
 
     look_up: LookUp
 
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """It is not run now.
+    """The request is refused for now.
 
     Attributes:
-        code: Why.
-        retry_after: Seconds after which asking again is sensible, 0 for never.
-        detail: What is particular to this case.
+        code: Reason of the refusal.
+        retry_after: Seconds after which to retry, 0 for never.
+        detail: Details of this refusal.
     """
 
     code: Code
--- a/carawayhub/agent/checked_rank.py
+++ b/carawayhub/agent/checked_rank.py
@@ -1,4 +1,4 @@
-"""A rank that gets no orders from an agent that may have been replaced."""
+"""Rank ports that withhold orders of an agent that may have been replaced."""
 
 from collections.abc import Awaitable, Callable
 
@@ -12,18 +12,18 @@
 
 
 class CheckedRank:
-    """A port that holds orders back while a pause leaves the configuration in doubt.
+    """A port that withholds orders while the configuration is unverified after a pause.
 
-    A paused agent wakes in the middle of a function with an order in hand. Its VM may have been
-    replaced meanwhile, or its group changed: engines that check no fencing numbers would take the
-    order. It is given only after a peer was heard that has the same configuration; a newer one
-    ends the decider, and the order with it. A pause after that is for the port to notice, which
-    looks once more as it writes (``HttpRank``). What is in flight when the pause begins is beyond
-    both, and is what the ranks' own rules are for.
+    A paused agent may resume in the middle of a function with an order about to be sent. Meanwhile
+    its VM may have been replaced or its group changed, and engines that don't check fencing numbers
+    would accept the order. It is sent only after a peer with the same configuration has replied; a
+    newer configuration stops the decider and drops the order. ``HttpRank`` detects a later pause,
+    since it checks again at each write. Neither covers an order in flight when the pause begins;
+    the rules of the ranks themselves guard against that.
 
     Args:
         port: The rank.
-        checked: Waits some seconds for the doubt to end; returns whether it did.
+        checked: Waits up to some seconds for verification; returns whether it succeeded.
     """
 
     __slots__ = ("_checked", "_port")
@@ -38,26 +38,26 @@
         return self._port.rank
 
     async def order(self, order: Order) -> Reply:
-        """Give an order once nothing is in doubt.
+        """Send an order once the configuration is verified.
 
         Raises:
-            GroupError: RANK_UNREACHABLE, also where the doubt did not end in time.
+            GroupError: RANK_UNREACHABLE, also if the configuration was not verified in time.
         """
         if not await self._checked(CHECK_TIMEOUT_SECONDS):
-            raise GroupError(Code.RANK_UNREACHABLE, "paused: the configuration is not checked yet")
+            raise GroupError(Code.RANK_UNREACHABLE, "paused: the configuration is not verified yet")
         return await self._port.order(order)
 
     async def read_map(self, wanted: MapId) -> ExpertMap:
-        """Return the content of a map; reading changes nothing and is not held back."""
+        """Return the content of a map; reads change nothing and are never withheld."""
         return await self._port.read_map(wanted)
 
 
 class LeasedRank:
-    """A port that gives no order without a valid lease.
+    """A port that sends orders only with a valid lease.
 
     Args:
         port: The rank.
-        leased: Whether the lease is valid.
+        leased: Returns whether the lease is valid.
     """
 
     __slots__ = ("_leased", "_port")
@@ -72,23 +72,23 @@
         return self._port.rank
 
     async def order(self, order: Order) -> Reply:
-        """Give an order.
+        """Send an order.
 
         Raises:
-            GroupError: LEASE_LAPSED where this agent may no longer decide.
+            GroupError: LEASE_LAPSED if this agent may no longer decide.
         """
         if not self._leased():
             raise self._lapsed()
         try:
             return await self._port.order(order)
         except GroupError as exc:
-            # An order held back right before its write says nothing of the rank.
+            # An order withheld right before its write doesn't show that the rank is lost.
             if self._leased():
                 raise
             raise self._lapsed() from exc
 
     async def read_map(self, wanted: MapId) -> ExpertMap:
-        """Return the content of a map; reading changes nothing and is not held back."""
+        """Return the content of a map; reads change nothing and are never withheld."""
         return await self._port.read_map(wanted)
 
     def _lapsed(self) -> GroupError:
--- a/carawayhub/agent/fence.py
+++ b/carawayhub/agent/fence.py
@@ -1,9 +1,9 @@
-"""One scope's fence at one agent: when may this agent run an idempotency key it has never seen?
+"""The fence of one scope at one agent: whether the agent may run a key that it has no record of.
 
-The agent is *established* for its set of members when every other member, and every former member
-whose keys have not expired, has promised at this very set to run none of this agent's keys, and has
-handed over what it knows of them. A promise comes with a quarantine where memory was lost. See
-``docs/design/run-once.md`` for the argument.
+The agent is *established* at its key set once every other member, and every former member whose
+keys have not expired, has promised at the same set to run none of this agent's keys, and has sent
+its records of them. A peer that lost its memory adds a quarantine to its promise. The proof is in
+``docs/design/run-once.md``.
 """
 
 from dataclasses import dataclass
@@ -34,10 +34,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Established:
-    """New keys whose home is this agent are run, once the quarantine is over.
+    """New keys whose home is this agent run once the quarantine has ended.
 
     Attributes:
-        quarantine: Seconds for which keys without a record are refused still.
+        quarantine: Remaining seconds in which keys without a record are refused.
     """
 
     quarantine: float
@@ -45,25 +45,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Missing:
-    """New keys are not run; keys whose home has not moved may still be.
+    """New keys are refused, except those whose home has not moved, which may still run.
 
     Attributes:
-        members: Who has not promised yet; empty where a majority's confirmation has run out.
+        members: Members without a promise; empty if the majority's confirmation has expired.
     """
 
     members: tuple[Member, ...]
 
 
 class Fence:
-    """See the module.
+    """Decides whether keys without a record may run; see the module docstring.
 
     Args:
         clock: The agent's clock.
         member: The agent's slot.
         incarnation: Random number that the agent drew when it started.
         scope: Service or model.
-        started: Reading of the clock when the agent started.
-        timing: Times of keys.
+        started: Timestamp of the agent's start.
+        timing: Derives retention, renewal and quarantine from the time to live of keys.
     """
 
     __slots__ = (
@@ -113,16 +113,16 @@
 
     @property
     def key_set(self) -> KeySet:
-        """The set that the agent stands at."""
+        """The current key set."""
         return self._grounds.current.key_set
 
     @property
     def retention(self) -> float:
-        """Seconds for which a key begun now is remembered."""
+        """Seconds for which the record of a key that starts now is kept."""
         return self._timing.retention(self.key_set.key_ttl)
 
     def adopt(self, key_set: KeySet, version: int) -> None:
-        """Stand at the set of a newer configuration."""
+        """Switch to the key set of a newer configuration."""
         self._version = version
         if key_set.digest == self.key_set.digest:
             return
@@ -131,7 +131,7 @@
             if self.key_set.seat(member) is None:
                 self._gone.pop(member, None)
         for member in self._formers.changed(self.key_set, key_set, fenced):
-            # The operators' word: what they remove after it was listed as leaving has ended.
+            # Operators remove a member that was listed as leaving only after it has stopped.
             self._gone.setdefault(member, self._clock.monotonic())
         self._retention = max(self._retention, self._timing.retention(key_set.key_ttl))
         self._grounds.enter(key_set)
@@ -140,7 +140,7 @@
         self._update_establishment()
 
     def admit(self, key: RunKey) -> Refuse | None:
-        """Return why a key without a record may not be run here, none where it may."""
+        """Return why a key without a record may not run here, or None if it may."""
         home = self.key_set.home(key)
         if home != self._member:
             where = "nowhere" if home is None else f"{home.endpoint} at {home.agent}"
@@ -156,7 +156,7 @@
         return None
 
     def status(self) -> Established | Missing:
-        """Say whether the agent is established at its set."""
+        """Return whether the agent is established at its key set."""
         self._update_establishment()
         stage = self._grounds.current
         if stage.ground is None or not self._grounds.confirmed(stage.key_set):
@@ -164,16 +164,16 @@
         return Established(max(0.0, stage.ground - self._clock.monotonic()))
 
     def missing(self) -> tuple[Member, ...]:
-        """Return who has neither promised nor is known to be gone."""
+        """Return the required members that have not promised and are not known to be gone."""
         made = self._promises.made
         return tuple(m for m in self._required() if m not in made and m not in self._gone)
 
     def requests(self) -> tuple[tuple[Member, FenceRequest], ...]:
         """Return the requests that are due.
 
-        Members that have not promised are asked at each call, the others to confirm their promise
-        at the pace of the renewal: one member that cannot be reached must not cost a call to each
-        of the others every second.
+        Members without a promise are asked at each call. The others are asked to confirm theirs
+        only at the renewal interval, so that one unreachable member doesn't cost a call to each of
+        the others every second.
         """
         self._update_establishment()
         pace = self._timing.renewal(self.key_set.key_ttl) / 2
@@ -182,7 +182,7 @@
         return tuple((peer, self._request(peer)) for peer in due)
 
     def answer(self, request: FenceRequest, ledger: Ledger) -> FenceReply:
-        """Promise a peer to run none of its keys from here on, if it stands at the same set."""
+        """Promise a peer to run none of its keys from now on, if it has the same key set."""
         if self._gone.pop(request.sender, None) is not None:
             self._update_establishment()
         if request.digest != self.key_set.digest:
@@ -196,13 +196,13 @@
         return self._promise(request, ledger)
 
     def accept_reply(self, reply: FenceReply, ledger: Ledger) -> bool:
-        """Take in a peer's reply.
+        """Process a peer's reply.
 
-        A reply that is not to a request of this stage is dropped: it may be a late one from an
-        earlier stage at the same set, before keys went elsewhere and came back.
+        A reply to a request of another stage is dropped. It may be a delayed one from an earlier
+        stage at the same key set, sent before keys moved to other members and back.
 
         Returns:
-            Whether it was a promise that counts.
+            Whether the reply was a valid promise.
         """
         sent = self._promises.sent(reply.sender, reply.sequence)
         if sent is None or reply.asker != self._incarnation:
@@ -221,29 +221,29 @@
         return True
 
     def record_handover(self, handover: Handover) -> None:
-        """Note that a peer hands its ledger over and stops."""
+        """Record that a peer hands over its ledger and stops."""
         if handover.digest == self.key_set.digest:
             until = self._clock.monotonic() + handover.quarantine
             self._closed.note(handover, until)
 
     def note_gone(self, member: Member) -> None:
-        """Take in that the platform's list says that the member's VM is gone."""
+        """Record that the member's VM is gone according to the platform's VM list."""
         self._gone.setdefault(member, self._clock.monotonic())
         self._update_establishment()
 
     def quarantine(self) -> float:
-        """Return the seconds for which keys that this agent has no entry of may have run."""
+        """Return the remaining seconds in which keys without an entry here may have run before."""
         own = self._own_quarantine_until()
         latest = self._grounds.latest()
         until = own if latest is None else max(own, latest)
         return max(0.0, until - self._clock.monotonic())
 
     def _refuse_unconfirmed(self) -> Refuse:
-        """Return why nothing vouches for a key.
+        """Return the refusal of a key that no stage confirms.
 
-        Where all have promised, a majority lacks because the members have lost their memory, as
-        after a common start. Callers are told how long that lasts at least; told "unreachable",
-        each would ask again every second for minutes.
+        If all members have promised, the majority is missing because they have lost their memory,
+        as after a simultaneous start. The refusal carries the minimum remaining time: with
+        "unreachable", each caller would retry every second for minutes.
         """
         missing = ", ".join(member.endpoint for member in self.missing())
         quarantine = self.quarantine()
@@ -300,7 +300,7 @@
         return tuple(member for member in members if member != self._member)
 
     def _update_establishment(self) -> None:
-        """Work out anew whether the present stage is established."""
+        """Recompute whether the current stage is established."""
         self._drop_expired()
         stage = self._grounds.current
         if self.key_set.seat(self._member) is None or self.missing():
@@ -318,8 +318,8 @@
         promise = self._promises.made.get(peer)
         if promise is not None:
             return promise.quarantine_until
-        # Counted from the last promise too: up to then a peer may have confirmed the one presumed
-        # gone, which may live on behind a partition.
+        # Starts no earlier than the last promise: until then a peer may have confirmed the member
+        # that is presumed gone, which may still run on the other side of a partition.
         since = max(self._gone[peer], self._promises.last())
         return since + self._timing.gone_quarantine(self.key_set.key_ttl, self._retention)
 
@@ -346,14 +346,14 @@
             return
         for member in self._formers.members:
             if member not in self._promises.made:
-                # Presumed gone, and the quarantine that this cost is over.
+                # It is presumed gone, and the quarantine for it has ended.
                 self._formers.drop(member)
                 self._gone.pop(member, None)
 
 
 @dataclass(slots=True, frozen=True)
 class _HasHome:
-    """Picks the keys whose home is one member."""
+    """Selects the keys whose home is one member."""
 
     key_set: KeySet
     member: Member
--- a/carawayhub/agent/follower.py
+++ b/carawayhub/agent/follower.py
@@ -1,4 +1,4 @@
-"""An agent beside further ranks of a lock-step group: it learns whether the group can step."""
+"""Polls the leader of a lock-step group for whether the group can step."""
 
 from dataclasses import dataclass
 
@@ -29,18 +29,19 @@
 
 
 class GroupFollower:
-    """Asks the agent beside rank 0 each second whether the group can step, and reports the same.
+    """Polls the agent beside rank 0 each second for whether the group can step, and reports it.
 
-    An entry of a large fleet keeps links with few agents, and often with one of a group but not
-    with that beside its rank 0. It would send requests to a group that cannot step, since the
-    agent it hears only sees its own engine. Where the other agent cannot be asked nothing is known,
-    and the endpoint stays in routing: the group goes on stepping without that agent.
+    In a large fleet an entry has links to few agents, often to one of a group but not to the one
+    beside rank 0. Without the poll it would route requests to a group that can't step, since the
+    agent that it is linked to sees only its own engine. If the agent beside rank 0 can't be
+    reached, the state is unknown and the endpoint stays in routing: the group keeps stepping
+    without that agent.
 
     Args:
-        seat: Which agent this is.
-        calls: Calls other agents.
-        reporter: Told when the group cannot step.
-        tasks: Where the asking runs.
+        local_agent: This agent.
+        calls: Client for calls to other agents.
+        reporter: Receives the reason why the group can't step, empty if it can.
+        tasks: Task group in which the polling runs.
     """
 
     __slots__ = ("_calls", "_leader", "_reporter", "_scope", "_local_agent", "_tasks")
@@ -56,7 +57,7 @@
         self._scope: anyio.CancelScope | None = None
 
     def configured(self, cfg: Configuration) -> None:
-        """Begin, change or end the asking as a version that came into force says."""
+        """Start, redirect or stop the polling as the new configuration version requires."""
         name = group_leaders(cfg).get(self._local_agent.endpoint)
         leader = None if name is None else _Leader(name, Address.parse(cfg.endpoints[name].agent))
         if leader == self._leader:
--- a/carawayhub/agent/grouptask.py
+++ b/carawayhub/agent/grouptask.py
@@ -1,4 +1,4 @@
-"""The lock-step group that an agent decides for: the one whose rank 0 its endpoint holds."""
+"""Runs the decider of the lock-step group whose rank 0 belongs to this agent's endpoint."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -36,11 +36,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalAgent:
-    """Which agent this is.
+    """The endpoint and addresses of this agent.
 
     Attributes:
         endpoint: Name of its endpoint.
-        address: ``ip:port`` at which it takes calls.
+        address: ``ip:port`` on which it accepts calls.
         source: IP number to connect from, empty for any.
     """
 
@@ -51,13 +51,13 @@
 
 @dataclass(frozen=True, slots=True)
 class _Plan:
-    """What a decider is made of; one is replaced where this changes.
+    """The configuration of a decider; a change replaces the decider.
 
     Attributes:
         group: The group.
         urls: Address of each of its endpoints, in the order of their ranks.
         options: Timing and staging rate.
-        horizon: Seconds for which a better balance is expected to last.
+        horizon: Seconds for which an improved balance is expected to last.
     """
 
     group: ModelGroup
@@ -67,18 +67,18 @@
 
 
 class GroupTask:
-    """Runs the decider of one group for as long as the configuration says that it is this agent's.
+    """Runs the decider of a group while the configuration assigns the group to this agent.
 
     Args:
-        seat: Which agent this is.
-        paused: Whether a pause of this process put in doubt what it knows.
-        checked: Waits some seconds for that doubt to end; returns whether it did.
-        lease: Says whether this agent may order the ranks.
-        reporter: Told when the group cannot step, so that entries send it nothing.
+        local_agent: This agent.
+        paused: Returns whether the configuration is unverified since a pause of this process.
+        checked: Waits up to some seconds for verification; returns whether it succeeded.
+        lease: Lease that permits this agent to order the ranks.
+        reporter: Receives whether the group can step, so that entries stop routing to it if not.
         clock: Source of time.
         rng: Source of the decider's number and of jitter.
-        audit: Takes what the decider does.
-        tasks: Where the decider runs.
+        audit: Records the decider's actions.
+        tasks: Task group in which the decider runs.
     """
 
     __slots__ = (
@@ -124,7 +124,7 @@
         self._status: GroupStatus | None = None
 
     def configured(self, cfg: Configuration) -> None:
-        """Begin, change or end the task as a version that came into force says."""
+        """Start, replace or stop the decider as the new configuration version requires."""
         plan = _plan(cfg, self._local_agent)
         self._lease.configured(cfg, None if plan is None else plan.group)
         self._draining = plan is not None and _is_draining(cfg, plan.group)
@@ -134,7 +134,9 @@
         continues = before is not None and plan is not None and before.urls == plan.urls
         continues = continues and self._status is not None and self._status.formed
         decides_for = "" if plan is None else plan.group.name
-        logger.bind(version=cfg.version, group=decides_for).info("decider begins or ends")
+        logger.bind(version=cfg.version, group=decides_for).info(
+            "decider started, replaced or stopped"
+        )
         if self._scope is not None:
             self._scope.cancel()
             self._scope = None
@@ -148,7 +150,7 @@
             self._tasks.start_soon(self._decide, cfg, plan, self._scope, silent)
 
     def rows(self) -> tuple[GroupStatusRow, ...]:
-        """Return the group's row on the status page, nothing without a group."""
+        """Return the group's row of the status page, or no rows without a group."""
         status = self._status
         if status is None:
             return ()
@@ -163,7 +165,7 @@
         return (row,)
 
     async def standing(self, sender: str, req: StandingRequest) -> StandingReply:
-        """Answer an agent beside other ranks of the group that asks whether it can step."""
+        """Report whether the group can step to an agent that runs beside its other ranks."""
         if self._plan is None or req.endpoint != self._local_agent.endpoint:
             return StandingReply()
         return StandingReply(out_of_step=self._reporter.out_of_step)
@@ -214,10 +216,10 @@
         return self._lease.valid() and not self._paused()
 
     async def _report_status(self, status: GroupStatus, report_not_formed_after: float) -> None:
-        """Keep the report in line with the decider's view of the group.
+        """Copy the decider's view of the group to the reporter.
 
-        A decider that replaces one of a formed group, as when a weight was changed, has not read
-        the ranks yet: until ``silent_until`` it does not take the group out of routing.
+        A decider that replaces one of a formed group, for example after a weight change, has not
+        read the ranks yet. Until ``report_not_formed_after`` the group therefore stays in routing.
         """
         while True:
             if status.formed or self._clock.monotonic() >= report_not_formed_after:
@@ -235,7 +237,7 @@
 
 
 class _Signals:
-    """What this agent knows of its group; see ``GroupSignals``."""
+    """Implements ``GroupSignals`` with what this agent knows of its group."""
 
     __slots__ = ("_checked", "_counters", "_draining", "_wait_until_valid", "_plan", "_reporter")
 
@@ -255,17 +257,17 @@
         self._counters = EngineCounters(plan.urls[0], plan.group.layers, plan.group.experts)
 
     async def counters(self) -> ExpertCounters | None:
-        """Return the newest counters, None where there are none.
+        """Return the latest counters, or None if there are none.
 
-        A decision follows at once. A paused agent may have been replaced, or its group changed, so
-        it waits here until it has checked its configuration; a new one ends the decider.
+        The decider acts on them at once. A paused agent may have been replaced, or its group
+        changed, so this waits until the configuration is verified; a new one stops the decider.
         """
         while not await self._checked(CHECK_WAIT_SECONDS):
             pass
         return await self._counters.read()
 
     def situation(self) -> Situation:
-        """Return load, drain and what else the policy weighs."""
+        """Return the load, the drain state and the other inputs of the policy."""
         load = self._reporter.load
         return Situation(
             draining=self._draining() or self._reporter.state is ServingState.LEAVING,
@@ -276,7 +278,7 @@
         )
 
     async def permitted(self) -> None:
-        """Return once this agent may give orders."""
+        """Wait until this agent may issue orders."""
         await self._wait_until_valid()
 
     async def close(self) -> None:
@@ -285,10 +287,10 @@
 
 
 def led_group(cfg: Configuration, local_agent: LocalAgent) -> ModelGroup | None:
-    """Return the lock-step group whose rank 0 an agent's endpoint holds, None for none.
+    """Return the lock-step group whose rank 0 belongs to the agent's endpoint, or None.
 
-    A group of a single rank has nothing to agree on and needs no decider. An agent at another
-    address than the configuration names is that of a VM that was replaced: it decides nothing.
+    A group with a single rank has nothing to coordinate and needs no decider. An agent whose
+    address differs from the configured one runs on a replaced VM and decides for no group.
     """
     for group in cfg.groups.values():
         if group.ranks > 1 and group.endpoints[0] == local_agent.endpoint:
@@ -299,9 +301,9 @@
 
 
 def rank_clients(plan: _Plan, local_agent: LocalAgent, may_send: MaySend) -> list[HttpRank]:
-    """Return a client of each rank; ranks are spread evenly over the endpoints, in order.
+    """Return a client for each rank; the endpoints hold equal, consecutive shares of the ranks.
 
-    Each order names its giver, for engines that check who gives it.
+    Each order carries the name of its issuer, for engines that check it.
     """
     ranks = plan.group.ranks
     each = ranks // len(plan.urls)
--- a/carawayhub/agent/leasekeeper.py
+++ b/carawayhub/agent/leasekeeper.py
@@ -1,4 +1,4 @@
-"""Asks the witnesses of a lock-step group whether this agent still decides for it."""
+"""Acquires and renews the lease of the agent that decides for a lock-step group."""
 
 import random
 
@@ -15,21 +15,21 @@
 from carawayhub.peers.signal import Signal
 
 RENEW_INTERVAL_SECONDS = 1.0
-"""Seconds between two askings of a lease that is valid: a third of what it lasts."""
+"""Interval between renewals of a valid lease: a third of its duration."""
 
 ACQUIRE_INTERVAL_SECONDS = 0.25
-"""Seconds between two askings without a valid lease, when callers may wait for a change."""
+"""Interval between attempts without a valid lease; short, since callers may be waiting."""
 
 ANSWER_TIMEOUT = 0.8
-"""Seconds for an answer: less than to the next asking."""
+"""Seconds to wait for a reply: shorter than the shortest renewal interval."""
 
 
 class LeaseKeeper:
-    """Keeps the lease of the group that one agent decides for.
+    """Maintains the lease of the group that this agent decides for.
 
     Args:
         holder: This agent.
-        calls: Calls the witnesses.
+        calls: Client for calls to the witnesses.
         clock: Source of time.
         rng: Source of jitter.
     """
@@ -60,7 +60,7 @@
         self._was_valid = False
 
     def configured(self, cfg: Configuration, group: ModelGroup | None) -> None:
-        """Keep a lease of ``group``, of none where this agent decides for none."""
+        """Maintain the lease of ``group``, or none if this agent decides for no group."""
         name = "" if group is None else group.name
         chosen = () if group is None else witnesses(cfg, group)
         if name != self._group:
@@ -73,16 +73,16 @@
         self._changed.notify()
 
     def valid(self) -> bool:
-        """Return whether an order may be given now."""
+        """Return whether an order may be issued now."""
         return self._lease.valid
 
     async def wait_until_valid(self) -> None:
-        """Return once an order may be given."""
+        """Wait until an order may be issued."""
         while not self._lease.valid:
             await self._acquired.wait()
 
     async def run(self) -> None:
-        """Seek and renew the lease until cancelled."""
+        """Acquire and renew the lease until cancelled."""
         while True:
             if not self._group:
                 await self._changed.wait()
@@ -105,7 +105,7 @@
             reply: LeaseReply = await self._calls.call(witness.address, LEASE, req, ANSWER_TIMEOUT)
         except PeerError as exc:
             logger.bind(group=self._group, witness=witness.name, error=str(exc)).debug(
-                "witness does not answer"
+                "call to witness failed"
             )
             return
         lease.heard(witness.name, asked_at, reply.named_seconds)
@@ -120,6 +120,6 @@
         names = sorted(each.name for each in self._witnesses)
         line = logger.bind(group=self._group, witnesses=names, ages=self._lease.ages())
         if valid:
-            line.info("lease gained")
+            line.info("lease acquired")
         else:
-            line.warning("lease lost: too few witnesses confirm that this agent decides")
+            line.warning("lease lost: too few witnesses confirm this agent as the decider")
--- a/carawayhub/agent/process.py
+++ b/carawayhub/agent/process.py
@@ -1,4 +1,4 @@
-"""The agent process: its parts joined, from start to planned stop."""
+"""The agent process: its components, startup and planned stop."""
 
 from collections.abc import Sequence
 
@@ -51,12 +51,12 @@
 
 
 class AgentProcess:
-    """One agent; see ``MemberRole`` for the part it plays in the fleet.
+    """One agent; see ``MemberRole`` for its role in the fleet.
 
     Args:
-        runtime: Its surroundings.
-        settings: Its settings.
-        tasks: Where runs go on after their caller has left.
+        runtime: Runtime environment of the process.
+        settings: Settings of the agent.
+        tasks: Task group in which runs continue after their caller has disconnected.
     """
 
     def __init__(self, runtime: Runtime, settings: AgentSettings, tasks: TaskGroup) -> None:
@@ -104,7 +104,7 @@
         self._watched: tuple[str, bool] | None = None
 
     async def run(self) -> None:
-        """Serve until a planned stop has come to its end."""
+        """Serve until a planned stop is complete."""
         operators = HttpServer(self._operators(), self.runtime.operator_socket)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.runtime.host.watch_stop, self.runtime.stop)
@@ -125,11 +125,12 @@
         return await self._gate.run(sender, req)
 
     async def _drain_and_stop(self) -> None:
-        """End the process so that no request is cut and no key forgotten.
+        """Stop the process without aborting a request or losing the record of a key.
 
-        New work stops at once, also from entries that have not heard: their permits run out. What
-        runs at the endpoint ends first, then the ledger goes to the other agents. The listening
-        socket closes last, so that no other incarnation can start at this address before.
+        New work is refused at once, and the permits of entries that were not notified expire.
+        Requests at the endpoint finish first, then the ledger is handed over to the other agents.
+        The listening socket closes last, so that no other incarnation can start at this address
+        before.
         """
         runtime = self.runtime
         await runtime.stop.wait()
@@ -141,7 +142,11 @@
         while self._busy():
             await anyio.sleep(DRAIN_POLL_SECONDS)
         whole = await self._keys.hand_over(runtime.clock.monotonic() + HANDOVER_TIMEOUT_SECONDS)
-        reason = "all work has ended" if whole else "handover not taken by all; keys stay unknown"
+        reason = (
+            "all work has ended"
+            if whole
+            else "handover not accepted by all peers; the state of some keys stays unknown"
+        )
         runtime.audit.record(Subject.PROCESS, runtime.identity.key, "leaving", "stopped", reason)
 
     def _busy(self) -> bool:
@@ -149,7 +154,7 @@
         return self._ledger.running() > 0 or load.running > 0 or load.queued > 0
 
     def _watch_endpoint(self, cfg: Configuration, endpoint: Endpoint) -> None:
-        """Watch the endpoint at the address that the configuration gives."""
+        """Poll the endpoint at its configured address."""
         wanted = (endpoint.url, is_engine(cfg, endpoint))
         if wanted == self._watched:
             return
@@ -172,10 +177,10 @@
                 with anyio.CancelScope(shield=True):
                     await watch.close()
 
-    # The agent as a member of the fleet.
+    # Callbacks of the fleet member.
 
     def configured(self, cfg: Configuration) -> None:
-        """Take a version that came into force."""
+        """Apply a configuration version."""
         self._reporter.configured(cfg)
         self._gate.configured(cfg)
         self._keys.configured(cfg)
@@ -190,21 +195,21 @@
         return ()
 
     def listed(self, vms: VmList) -> None:
-        """Take a VM list."""
+        """Apply a VM list."""
         self._reporter.listed(vms)
         self._keys.listed(vms)
 
     def replied(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
-        """Take nothing: an agent opens no links."""
+        """Do nothing: an agent opens no links."""
 
     def lost(self, peer: Peer) -> None:
-        """Take nothing: an agent opens no links."""
+        """Do nothing: an agent opens no links."""
 
     def members_changed(self) -> None:
-        """Take nothing: an agent opens no links."""
+        """Do nothing: an agent opens no links."""
 
     def heard(self, peer: Hello, heartbeat: Heartbeat) -> None:
-        """Take nothing: what counts of an entry's heartbeat is its version."""
+        """Do nothing: only the version of an entry's heartbeat matters."""
 
     def report(self, peer: Hello) -> EndpointReport | None:
         """Return the report on the endpoint."""
@@ -215,10 +220,10 @@
         return ()
 
     def ends(self, peer: Peer, sequence: int) -> tuple[EndsRow, ...]:
-        """Return nothing: entries see what their requests end under."""
+        """Return nothing: entries observe how their requests end."""
         return ()
 
-    # What operators see.
+    # Interface for operators.
 
     def _operators(self) -> Operators:
         return Operators(
@@ -247,11 +252,11 @@
 
 
 async def run_agent(settings: AgentSettings, host: Host | None = None) -> None:
-    """Run an agent until it was asked to stop and its work is done.
+    """Run an agent until it is asked to stop and its work is complete.
 
     Args:
-        settings: Its settings.
-        host: What it runs in; the process itself if None.
+        settings: Settings of the agent.
+        host: Host that the agent runs in; the process itself if None.
 
     Raises:
         CommandError: PORT_IN_USE.
--- a/carawayhub/agent/rank_client.py
+++ b/carawayhub/agent/rank_client.py
@@ -1,4 +1,4 @@
-"""The ranks of an engine over HTTP: ``RankPort`` with ``httpcore``.
+"""HTTP client for the ranks of an engine: implements ``RankPort`` with ``httpcore``.
 
 Orders go to ``POST /ranks/RANK/orders/KIND`` as JSON; ``GET /ranks/RANK/maps/NUMBER/DIGEST`` gives
 the content of a map.
@@ -51,20 +51,20 @@
 class HttpRank:
     """One rank of an engine.
 
-    A connection on which an answer was cut or did not come in time is closed and never used again,
-    so a late answer cannot be taken for that of the next order.
+    A connection whose response was truncated or timed out is closed and never reused, so that a
+    late response can't be mistaken for that of the next order.
 
-    Guards against orders of an agent that was suspended with an order decided on and not yet
-    written. They reached the ranks as it woke, beside those of the agent that had replaced it: a
-    rank that ignores fencing numbers obeys both. So each write of an order asks once more, with
-    nothing between the question and the write.
+    An agent may be suspended after it has decided on an order and before it writes it. On resuming
+    it would send the order beside those of the agent that has replaced it, and a rank that ignores
+    fencing numbers obeys both. Each write of an order therefore calls ``may_send`` again, with no
+    step of the event loop between the check and the write.
 
     Args:
-        url: Base of the engine's address, for example ``http://10.0.0.1:8000``.
+        url: Base URL of the engine, for example ``http://10.0.0.1:8000``.
         rank: Position of the rank in its group.
-        headers: Sent with each order, for an engine that checks who gives it.
-        source: IP number to connect from, empty for any.
-        may_send: Asked right before each write of an order.
+        headers: Sent with each request, for engines that check the order issuer.
+        source: IP address to connect from, empty for any.
+        may_send: Called right before each write of an order.
         clock: Source of time.
     """
 
@@ -84,7 +84,7 @@
         named = dict(headers or {}, **{"content-type": "application/json"})
         self._headers = [(name.encode(), text.encode()) for name, text in named.items()]
         self._orders = _pool(source, CheckedNetwork(may_send, clock))
-        # Reading a map changes nothing, and a woken agent may go on with it.
+        # Reading a map changes nothing, so an agent may continue it after a pause.
         self._maps = _pool(source)
 
     @property
@@ -93,12 +93,11 @@
         return self._rank
 
     async def order(self, order: Order) -> Reply:
-        """Give an order and return the rank's answer.
+        """Send an order and return the rank's reply.
 
         Raises:
-            GroupError: RANK_UNREACHABLE where the order may or may not have been obeyed or was not
-                sent whole,
-                RANK_MALFORMED where the answer cannot be read.
+            GroupError: RANK_UNREACHABLE if the order was not sent completely or it is unknown
+                whether the rank obeyed it, RANK_MALFORMED if the reply can't be decoded.
         """
         kind = _NAMES[type(order)]
         body = msgspec.json.encode(order)
@@ -113,7 +112,7 @@
         return _decode(answer, Reply)
 
     async def read_map(self, wanted: MapId) -> ExpertMap:
-        """Return the content of a map that the rank holds or stages."""
+        """Return the content of a map that the rank holds or is staging."""
         path = f"/maps/{wanted.number}/{wanted.digest}"
         answer = await self._call(self._maps, "GET", path, None)
         return _decode(answer, ExpertMap)
@@ -134,8 +133,8 @@
         except WithheldError:
             raise
         except Exception as exc:
-            # A connection that breaks in the middle of a call also shows as an AttributeError or a
-            # RuntimeError of the libraries below. It must not end the decider: it is a lost call.
+            # The libraries may also raise AttributeError or RuntimeError if a connection breaks
+            # during a call. That must count as a failed call and not stop the decider.
             raise GroupError(Code.RANK_UNREACHABLE, f"rank {self._rank}: {exc!r}") from exc
         if response.status == 404:
             raise GroupError(Code.ORDER_REFUSED, f"rank {self._rank}: {path} not found")
--- a/carawayhub/agent/reporter.py
+++ b/carawayhub/agent/reporter.py
@@ -1,4 +1,4 @@
-"""What an agent knows of its endpoint and reports to entries."""
+"""Polls the endpoint of an agent and builds the reports for entries."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class Standing:
-    """Whether new work may go to the endpoint, and why not."""
+    """Serving state of the endpoint, with the reason if it is not serving."""
 
     state: ServingState
     reason: str
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class _LeavingSources:
-    """Who says that the endpoint is leaving; any one of them is enough."""
+    """Sources that mark the endpoint as leaving; any one is sufficient."""
 
     configuration: bool = False
     vm_list: bool = False
@@ -38,8 +38,8 @@
 
     def reason(self) -> str:
         sources = (
-            (self.configuration, "the configuration says so"),
-            (self.vm_list, "the VM list says so"),
+            (self.configuration, "marked as leaving in the configuration"),
+            (self.vm_list, "marked as leaving in the VM list"),
             (self.stop, "its agent is stopping"),
         )
         return ", ".join(text for applies, text in sources if applies)
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class _LatestLoad:
-    """The latest load and when it was heard."""
+    """The latest load and when it was received."""
 
     load: Load = field(default_factory=Load)
     at: float = 0.0
@@ -55,15 +55,15 @@
 
 
 class Reporter:
-    """Polls the endpoint and makes reports.
+    """Polls the endpoint and builds its reports.
 
     Args:
         endpoint: Name of the endpoint.
         vm: Name of its VM.
-        incarnation: The agent's.
+        incarnation: Incarnation of the agent.
         clock: Source of time.
-        audit: Takes changes of state.
-        announce: Called when entries must hear of a change at once.
+        audit: Records changes of state.
+        announce: Called when entries must receive a change at once.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
         self._latest_load = _LatestLoad()
         self._cfg: Configuration | None = None
         self._events: list[CacheChange] = []
-        self._standing = Standing(ServingState.STARTING, "it has not been heard yet")
+        self._standing = Standing(ServingState.STARTING, "no load received yet")
         self._sent: dict[str, int] = {}
         self.map_number = 0
         self.skew = 1.0
@@ -99,39 +99,39 @@
 
     @property
     def reason(self) -> str:
-        """Why it is not serving, empty where it is."""
+        """Why the endpoint is not serving, empty if it is."""
         return self._standing.reason
 
     @property
     def load(self) -> Load:
-        """The load that was heard last."""
+        """The latest load that was received."""
         return self._latest_load.load
 
     def configured(self, cfg: Configuration) -> None:
-        """Take a version into force; an endpoint that it does not name is leaving."""
+        """Apply a configuration version; an endpoint that it doesn't name is leaving."""
         self._cfg = cfg
         found = cfg.endpoints.get(self._endpoint)
         self._leaving.configuration = found is None or found.state is EndpointState.LEAVING
         self._update_standing()
 
     def listed(self, vms: VmList) -> None:
-        """Take the platform's list; a VM that it does not have may just be too new."""
+        """Apply the platform's VM list; a VM missing from it may just be too new."""
         states = {vm.name: vm.state for vm in vms.vms}
         self._leaving.vm_list = states.get(self._vm) is VmState.LEAVING
         self._update_standing()
 
     def stopping(self) -> None:
-        """Note that the agent was asked to stop."""
+        """Record that the agent is stopping."""
         self._leaving.stop = True
         self._update_standing()
 
     def set_out_of_step(self, reason: str) -> None:
-        """Take the endpoint out of routing while its group cannot step, with the reason."""
+        """Set why the group can't step, which takes the endpoint out of routing; empty if it can."""
         self.out_of_step = reason
         self._update_standing()
 
     async def poll(self, watch: EndpointWatch) -> None:
-        """Ask the endpoint for load and cache events until cancelled."""
+        """Poll the endpoint for load and cache events until cancelled."""
         after = 0
         while True:
             pause = POLL_INTERVAL_SECONDS
@@ -173,10 +173,10 @@
         )
 
     def _unsent_cache_events(self, peer: Hello) -> CacheEvents:
-        """Return the cache events that this peer was not sent yet, as far as they are in order.
+        """Return the cache events not yet sent to this peer, up to the first gap.
 
-        Events are sent once: the link keeps order and loses none while it stands, and a peer that
-        opens a new link gets all that is kept. A gap shows by the number of the first.
+        Each event is sent once: an open link keeps their order and loses none, and a peer that
+        opens a new link gets all kept events. The peer detects a gap by the first number.
         """
         key = f"{peer.name}:{peer.incarnation}"
         sent = self._sent.get(key, 0)
@@ -194,7 +194,7 @@
     def _failed(self, exc: PlatformError) -> None:
         self._latest_load.failures += 1
         if self._latest_load.failures == FAILURES_UNTIL_FAILED:
-            logger.bind(endpoint=self._endpoint).warning("the endpoint does not answer: {}", exc)
+            logger.bind(endpoint=self._endpoint).warning("polling the endpoint failed: {}", exc)
         self._update_standing()
 
     def _update_standing(self) -> None:
@@ -209,7 +209,7 @@
                 self._endpoint,
                 before.state.value,
                 standing.state.value,
-                standing.reason or "it answers",
+                standing.reason or "the endpoint is responding",
             )
             self._announce()
 
@@ -220,7 +220,7 @@
         if self._cfg is None:
             return Standing(ServingState.STARTING, "no configuration is in force yet")
         if self._latest_load.failures >= FAILURES_UNTIL_FAILED:
-            return Standing(ServingState.FAILED, "it does not answer")
+            return Standing(ServingState.FAILED, "the endpoint is not responding")
         if self.out_of_step:
             return Standing(ServingState.FAILED, self.out_of_step)
         return Standing(ServingState.SERVING, "")
--- a/carawayhub/agent/vmwatch.py
+++ b/carawayhub/agent/vmwatch.py
@@ -1,8 +1,8 @@
-"""Which VMs the platform's list says are gone.
+"""Detects VMs that are gone according to the platform's list.
 
 The list lags and may be an old copy, so a name that is missing once proves nothing. A VM counts as
-gone when it was listed before, has been missing from every list for a while, and no list in that
-time had shrunk so much that the list itself is to be doubted.
+gone if it was listed before, has since been missing from every list for a while, and no list in
+that time had shrunk so much that it was probably wrong.
 """
 
 from collections.abc import Iterable
@@ -14,11 +14,11 @@
 
 
 class VmWatch:
-    """Watches the platform's list for VMs that have gone.
+    """Compares successive lists of the platform to detect VMs that are gone.
 
     Args:
         clock: The agent's clock.
-        absent_seconds: Time for which a VM must be missing.
+        absent_seconds: Seconds for which a VM must be missing.
     """
 
     __slots__ = ("_absent", "_absent_seconds", "_clock", "_listed", "_accepted_count")
@@ -31,12 +31,12 @@
         self._accepted_count = 0
 
     def observe(self, names: Iterable[str]) -> tuple[str, ...]:
-        """Take in a list that was read; return the VMs that count as gone by now."""
+        """Process a list; return the VMs that now count as gone."""
         now = self._clock.monotonic()
         listed = set(names)
         if len(listed) < MIN_LISTED_SHARE * self._accepted_count:
-            # A list that lost many names at once is more likely wrong than right, and stays so
-            # until it has recovered: an old copy may be served for hours.
+            # A list that lost many names at once is probably wrong. Lists are ignored until one is
+            # large enough again, since an old copy may be served for hours.
             self._absent = {}
             return ()
         self._accepted_count = len(listed)
--- a/tests/test_checked_writes.py
+++ b/tests/test_checked_writes.py
@@ -1,4 +1,4 @@
-"""Nothing is sent by a process that was suspended after it had decided to send it."""
+"""Writes are withheld after a suspension between the decision to send and the write."""
 
 import socket
 import unittest
@@ -28,16 +28,15 @@
 
 
 class SuspendedAgentTest(unittest.IsolatedAsyncioTestCase):
-    """An agent is suspended with an order decided on, checked, and not yet written."""
+    """An agent is suspended after the check of an order and before its write."""
 
     async def test_no_order_leaves_after_a_pause_that_came_after_its_check(self) -> None:
         """Ranks that ignore fencing numbers obey two deciders at once.
 
-        The check of an order is passed, and the VM is suspended before the order is written: it
-        still has to open a connection. The VM is replaced meanwhile. The old one wakes in the
-        middle of the connect and sends the order, beside those of its successor. In a fleet of
-        processes four orders had passed the check when the agent was stopped for 2.2 s: one reached
-        its rank before that, and two reached theirs 6 and 27 ms after the agent went on.
+        The VM is suspended after the check of an order, before the connection for it is open, and
+        is replaced. The old VM resumes during the connect and sends the order beside those of its
+        successor. Orders that had passed the check when an agent was stopped for 2.2 s reached
+        their ranks 6 and 27 ms after it resumed.
         """
         clock = ManualClock()
         pauses = PauseDetector(clock, frozenset({View.CONFIGURATION}))
@@ -56,10 +55,9 @@
         self.assertEqual(ranks.ports[0].given, [])
 
     async def test_no_order_leaves_after_a_pause_within_its_last_check(self) -> None:
-        """An order reached rank 2 from an agent that had been replaced, beside 282 runs without.
+        """Guards against an order of a replaced agent that is suspended during its last check.
 
-        The agent was stopped while it looked whether it had been stopped: the clock was read, the
-        order not yet written. With 1 ms put there 1 of 10 runs of the fleet showed it.
+        The suspension falls after the check has read the clock and before the order is written.
         """
         clock = ManualClock()
         pauses = PauseDetector(clock, frozenset({View.CONFIGURATION}))
@@ -80,9 +78,9 @@
         self.assertEqual(ranks.ports[0].given, [])
 
     async def test_an_order_that_was_begun_is_not_completed_after_a_pause(self) -> None:
-        """The head of an order goes out, and the VM is suspended before its body does.
+        """The VM is suspended after it has sent the head of an order and before the body.
 
-        The engine waits for the body, and obeys the order as soon as the woken agent sends it.
+        The engine waits for the body and would obey the order once the resumed agent sends it.
         """
         answers = iter((True, False))
         async with serving_ranks() as (ranks, url):
@@ -108,14 +106,14 @@
 
 
 class CheckedStreamTest(unittest.IsolatedAsyncioTestCase):
-    """The connection by itself."""
+    """The checked connection without an HTTP client."""
 
     async def test_a_large_message_is_cut_where_the_doubt_began(self) -> None:
-        """A message larger than the socket takes at once is on its way when the pause comes.
+        """A pause begins while a message larger than the socket buffer is being sent.
 
-        Were only its first write checked, the rest would follow when the process wakes.
+        If only its first write were checked, the rest would be sent when the process resumes.
         """
-        came = 0
+        received_bytes = 0
         asked = 0
 
         def may_send() -> bool:
@@ -123,17 +121,17 @@
             asked += 1
             return asked < 3
 
-        async def take(client: SocketStream) -> None:
-            nonlocal came
+        async def count_bytes(client: SocketStream) -> None:
+            nonlocal received_bytes
             async with client:
                 async for part in client:
-                    came += len(part)
+                    received_bytes += len(part)
 
-        async with connected(take, may_send) as stream:
+        async with connected(count_bytes, may_send) as stream:
             with self.assertRaises(WithheldError):
                 await stream.write(LARGE)
-        self.assertGreater(came, 0)
-        self.assertLess(came, len(LARGE))
+        self.assertGreater(received_bytes, 0)
+        self.assertLess(received_bytes, len(LARGE))
 
     async def test_large_messages_pass_whole(self) -> None:
         async def echo(client: SocketStream) -> None:
@@ -143,10 +141,10 @@
 
         async with connected(echo, lambda: True) as stream, anyio.create_task_group() as tasks:
             tasks.start_soon(stream.write, LARGE)
-            back = b""
-            while len(back) < len(LARGE):
-                back += await stream.read(65536)
-        self.assertEqual(back, LARGE)
+            echoed = b""
+            while len(echoed) < len(LARGE):
+                echoed += await stream.read(65536)
+        self.assertEqual(echoed, LARGE)
 
     async def test_end_and_silence_show_as_httpcore_expects(self) -> None:
         async def leave(client: SocketStream) -> None:
@@ -171,19 +169,19 @@
 
 @asynccontextmanager
 async def serving_ranks() -> AsyncIterator[tuple[RankGroup, str]]:
-    """Serve ranks that ignore fencing numbers; yield them and their address."""
+    """Serve ranks that ignore fencing numbers; yield them and their URL."""
     ranks = RankGroup(RankOptions(checks_fencing=False))
     with anyio.fail_after(LIMIT_S):
         async with ranks.serving("127.0.0.1:0") as address, anyio.create_task_group() as tasks:
             held = anyio.Event()
-            tasks.start_soon(_hold, f"http://{address}/hold/0", held)
+            tasks.start_soon(_act_as_engine, f"http://{address}/hold/0", held)
             await held.wait()
             yield ranks, f"http://{address}"
             tasks.cancel_scope.cancel()
 
 
-async def _hold(url: str, held: anyio.Event) -> None:
-    """Be the engine of rank 0, which is there as long as this connection stands."""
+async def _act_as_engine(url: str, held: anyio.Event) -> None:
+    """Act as the engine of rank 0, which is available while this connection is open."""
     async with httpcore.AsyncConnectionPool() as pool, pool.stream("POST", url) as response:
         async for _ in response.aiter_stream():
             held.set()
@@ -191,7 +189,7 @@
 
 @asynccontextmanager
 async def connected(serve: Callable, may_send: Callable[[], bool]) -> AsyncIterator[CheckedStream]:
-    """Connect to a server that is gone once the body has ended and all was read."""
+    """Connect to a server that stops after the body has ended and all data was read."""
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     host, port = listener.extra(SocketAttribute.local_address)
     with anyio.fail_after(LIMIT_S):
--- a/tests/test_groups_agent.py
+++ b/tests/test_groups_agent.py
@@ -1,4 +1,4 @@
-"""Which agent orders the ranks of a group, and when it holds its orders back."""
+"""Which agent orders the ranks of a group, and when its orders are withheld."""
 
 import dataclasses
 import unittest
@@ -21,8 +21,8 @@
 from tests.routing_fakes import configuration, report
 
 
-class OrderedRank:
-    """A rank that notes its orders."""
+class RecordingRank:
+    """A rank that records its orders."""
 
     rank = 0
 
@@ -38,16 +38,16 @@
 
 
 class PausedAgentTest(unittest.IsolatedAsyncioTestCase):
-    """An agent wakes with an order in hand."""
+    """An agent resumes after a pause with an order not yet sent."""
 
     async def test_an_order_waits_until_the_configuration_is_checked(self) -> None:
-        """Ranks change their map for an agent whose group was given to another.
+        """Ranks change their map for an agent whose group was assigned to another agent.
 
-        The agent is stopped between the making of an order and its sending. When it wakes it
-        believes that the group is its own. The order may go out only after the check; where the
-        check brings a newer configuration, the decider ends and the order with it.
+        The agent is stopped after it has created an order and before it sends it. When it resumes
+        it still takes itself for the decider. The order may be sent only after the check; if the
+        check returns a newer configuration, the decider stops and the order is dropped.
         """
-        rank, checked = OrderedRank(), anyio.Event()
+        rank, checked = RecordingRank(), anyio.Event()
 
         async def until_checked(timeout: float) -> bool:
             await checked.wait()
@@ -66,7 +66,7 @@
         async def never(timeout: float) -> bool:
             return False
 
-        rank = OrderedRank()
+        rank = RecordingRank()
         with self.assertRaises(GroupError) as caught:
             await CheckedRank(rank, never).order(Read(term=Term(1, 1)))
         self.assertEqual(caught.exception.code, Code.RANK_UNREACHABLE)
@@ -74,20 +74,20 @@
 
 
 class LeasedAgentTest(unittest.IsolatedAsyncioTestCase):
-    """An agent whose lease ends."""
+    """An agent whose lease expires."""
 
     async def test_no_order_is_given_without_a_lease(self) -> None:
-        rank = OrderedRank()
+        rank = RecordingRank()
         with self.assertRaises(GroupError) as caught:
             await LeasedRank(rank, lambda: False).order(Read(term=Term(1, 1)))
         self.assertEqual(caught.exception.code, Code.LEASE_LAPSED)
         self.assertEqual(rank.orders, [])
 
     async def test_order_held_back_at_its_write_does_not_make_the_rank_a_lost_one(self) -> None:
-        """Guards against a group out of routing since its agent's lease ended within an order."""
+        """Guards against a group taken out of routing when the lease expires during an order."""
         leased = [True]
 
-        class Withheld(OrderedRank):
+        class Withheld(RecordingRank):
             async def order(self, order: Order) -> Reply:
                 leased[0] = False
                 raise GroupError(Code.RANK_UNREACHABLE, "order withheld")
@@ -97,7 +97,7 @@
         self.assertEqual(caught.exception.code, Code.LEASE_LAPSED)
 
     async def test_lost_rank_is_told_of_with_a_lease(self) -> None:
-        class Lost(OrderedRank):
+        class Lost(RecordingRank):
             async def order(self, order: Order) -> Reply:
                 raise GroupError(Code.RANK_UNREACHABLE, "no answer")
 
@@ -106,7 +106,7 @@
         self.assertEqual(caught.exception.code, Code.RANK_UNREACHABLE)
 
     async def test_group_stays_in_routing_through_a_short_lapse(self) -> None:
-        """Guards against callers refused by a group that steps, for want of a decider."""
+        """Guards against refused callers of a group that steps without a decider."""
         bench = GroupBench()
         leased = [True]
         ports = [LeasedRank(StandInPort(rank), lambda: leased[0]) for rank in bench.ranks]
@@ -123,7 +123,7 @@
 
 
 class LedGroupTest(unittest.TestCase):
-    """Which agent a configuration names."""
+    """Which agent decides for a group according to the configuration."""
 
     def setUp(self) -> None:
         cfg = configuration(2)
@@ -140,14 +140,14 @@
         self.assertIsNone(led_group(self.cfg, LocalAgent(self.second, second)))
 
     def test_the_agent_of_a_replaced_vm_decides_nothing(self) -> None:
-        """Two agents of one endpoint's name run, since its VM was replaced and the old one woke.
+        """Two agents of one endpoint run, since its VM was replaced and the old one resumed.
 
-        The configuration names the new agent's address.
+        The configuration names the address of the new agent.
         """
         self.assertIsNone(led_group(self.cfg, LocalAgent(self.first, "10.9.9.9:7000")))
 
     def test_no_ticket_names_an_endpoint_whose_group_cannot_step(self) -> None:
-        """A caller gets a ticket for an endpoint whose own agent is content, and waits there."""
+        """A caller would wait at an endpoint that its own agent reports as serving."""
         reports = Reports()
         reports.configure(self.cfg)
         reports.observe(report(self.second), 0.0, 0.0)
@@ -159,13 +159,13 @@
 
 
 class CountersTest(unittest.IsolatedAsyncioTestCase):
-    """Counters as an engine gives them."""
+    """Expert counters as an engine returns them."""
 
     async def test_counters_of_another_shape_are_passed_over(self) -> None:
-        """A group is declared with the wrong number of experts, and its agent dies of it.
+        """A group configured with the wrong number of experts crashed its agent.
 
-        The engine counts eight experts in two layers. Where something else is declared the map is
-        kept and the log says why.
+        The engine counts eight experts in two layers. With any other configuration the map is kept
+        and the reason is logged.
         """
         ranks = RankGroup(RankOptions(layers=2, experts=8, counter_lag_s=0.0, counter_loss=0.0))
         async with ranks.serving("127.0.0.1:0") as address:
