--- a/carawayhub/agent/checked_rank.py
+++ b/carawayhub/agent/checked_rank.py
@@ -78,18 +78,18 @@
             GroupError: LEASE_LAPSED if this agent may no longer decide.
         """
         if not self._leased():
-            raise self._lapsed()
+            raise self._lapsed_error()
         try:
             return await self._port.order(order)
         except GroupError as exc:
             # An order withheld right before its write doesn't show that the rank is lost.
             if self._leased():
                 raise
-            raise self._lapsed() from exc
+            raise self._lapsed_error() from exc
 
     async def read_map(self, wanted: MapId) -> ExpertMap:
         """Return the content of a map; reads change nothing and are never withheld."""
         return await self._port.read_map(wanted)
 
-    def _lapsed(self) -> GroupError:
+    def _lapsed_error(self) -> GroupError:
         return GroupError(Code.LEASE_LAPSED, f"rank {self.rank}: order withheld")
--- a/carawayhub/agent/fence.py
+++ b/carawayhub/agent/fence.py
@@ -176,8 +176,8 @@
         the others every second.
         """
         self._update_establishment()
-        pace = self._timing.renewal(self.key_set.key_ttl) / 2
-        oldest = self._clock.monotonic() - pace
+        confirm_interval = self._timing.renewal(self.key_set.key_ttl) / 2
+        oldest = self._clock.monotonic() - confirm_interval
         due = [peer for peer in self._required() if self._promises.due(peer, oldest)]
         return tuple((peer, self._request(peer)) for peer in due)
 
@@ -232,7 +232,7 @@
         self._update_establishment()
 
     def quarantine(self) -> float:
-        """Return the remaining seconds in which keys without an entry here may have run before."""
+        """Return the seconds for which a key without an entry here may already have run."""
         own = self._own_quarantine_until()
         latest = self._grounds.latest()
         until = own if latest is None else max(own, latest)
@@ -330,13 +330,13 @@
             return self._lost_until
         return self._started + self._retention
 
-    def _learn_former(self, told: FormerMember) -> None:
-        if told.member == self._member or self.key_set.seat(told.member) is not None:
+    def _learn_former(self, reported: FormerMember) -> None:
+        if reported.member == self._member or self.key_set.seat(reported.member) is not None:
             return
         now = self._clock.monotonic()
-        fenced = None if told.remaining is None else now - self._retention + told.remaining
-        if self._formers.learn(told, fenced) and told.leaving:
-            self._gone.setdefault(told.member, now)
+        fenced = None if reported.remaining is None else now - self._retention + reported.remaining
+        if self._formers.learn(reported, fenced) and reported.leaving:
+            self._gone.setdefault(reported.member, now)
 
     def _drop_expired(self) -> None:
         now = self._clock.monotonic()
--- a/carawayhub/agent/follower.py
+++ b/carawayhub/agent/follower.py
@@ -44,7 +44,7 @@
         tasks: Task group in which the polling runs.
     """
 
-    __slots__ = ("_calls", "_leader", "_reporter", "_scope", "_local_agent", "_tasks")
+    __slots__ = ("_calls", "_leader", "_local_agent", "_reporter", "_scope", "_tasks")
 
     def __init__(
         self, local_agent: LocalAgent, calls: CallClient, reporter: Reporter, tasks: TaskGroup
--- a/carawayhub/agent/grouptask.py
+++ b/carawayhub/agent/grouptask.py
@@ -87,12 +87,12 @@
         "_clock",
         "_draining",
         "_lease",
+        "_local_agent",
         "_paused",
         "_plan",
         "_reporter",
         "_rng",
         "_scope",
-        "_local_agent",
         "_status",
         "_tasks",
     )
@@ -186,7 +186,7 @@
             plan,
             self._reporter,
             self._checked,
-            self._lease.wait_until_valid,
+            self._lease.held,
             lambda: self._draining,
         )
         decider = GroupDecider(
@@ -239,18 +239,18 @@
 class _Signals:
     """Implements ``GroupSignals`` with what this agent knows of its group."""
 
-    __slots__ = ("_checked", "_counters", "_draining", "_wait_until_valid", "_plan", "_reporter")
+    __slots__ = ("_checked", "_counters", "_draining", "_held", "_plan", "_reporter")
 
     def __init__(
         self,
         plan: _Plan,
         reporter: Reporter,
         checked: Callable[[float], Awaitable[bool]],
-        wait_until_valid: Callable[[], Awaitable[None]],
+        held: Callable[[], Awaitable[None]],
         draining: Callable[[], bool],
     ) -> None:
         self._checked = checked
-        self._wait_until_valid = wait_until_valid
+        self._held = held
         self._draining = draining
         self._plan = plan
         self._reporter = reporter
@@ -279,7 +279,7 @@
 
     async def permitted(self) -> None:
         """Wait until this agent may issue orders."""
-        await self._wait_until_valid()
+        await self._held()
 
     async def close(self) -> None:
         """Close connections."""
@@ -306,10 +306,10 @@
     Each order carries the name of its issuer, for engines that check it.
     """
     ranks = plan.group.ranks
-    each = ranks // len(plan.urls)
+    ranks_per_endpoint = ranks // len(plan.urls)
     headers = {ISSUER_HEADER: local_agent.endpoint}
     return [
-        HttpRank(plan.urls[rank // each], rank, headers, local_agent.source, may_send)
+        HttpRank(plan.urls[rank // ranks_per_endpoint], rank, headers, local_agent.source, may_send)
         for rank in range(ranks)
     ]
 
--- a/carawayhub/agent/leasekeeper.py
+++ b/carawayhub/agent/leasekeeper.py
@@ -35,10 +35,10 @@
     """
 
     __slots__ = (
+        "_acquired",
         "_calls",
         "_changed",
         "_clock",
-        "_acquired",
         "_group",
         "_holder",
         "_lease",
@@ -76,7 +76,7 @@
         """Return whether an order may be issued now."""
         return self._lease.valid
 
-    async def wait_until_valid(self) -> None:
+    async def held(self) -> None:
         """Wait until an order may be issued."""
         while not self._lease.valid:
             await self._acquired.wait()
--- a/carawayhub/agent/rank_client.py
+++ b/carawayhub/agent/rank_client.py
@@ -39,7 +39,7 @@
     "abort": Abort,
     "commit": Commit,
 }
-_NAMES = {kind: name for name, kind in ORDER_KINDS.items()}
+_KIND_NAMES = {kind: name for name, kind in ORDER_KINDS.items()}
 
 T = TypeVar("T")
 
@@ -99,7 +99,7 @@
             GroupError: RANK_UNREACHABLE if the order was not sent completely or it is unknown
                 whether the rank obeyed it, RANK_MALFORMED if the reply can't be decoded.
         """
-        kind = _NAMES[type(order)]
+        kind = _KIND_NAMES[type(order)]
         body = msgspec.json.encode(order)
         try:
             answer = await self._call(self._orders, "POST", f"/orders/{kind}", body)
--- a/carawayhub/agent/reporter.py
+++ b/carawayhub/agent/reporter.py
@@ -37,12 +37,12 @@
     stop: bool = False
 
     def reason(self) -> str:
-        sources = (
-            (self.configuration, "marked as leaving in the configuration"),
-            (self.vm_list, "marked as leaving in the VM list"),
+        named = (
+            (self.configuration, "leaving according to the configuration"),
+            (self.vm_list, "leaving according to the VM list"),
             (self.stop, "its agent is stopping"),
         )
-        return ", ".join(text for applies, text in sources if applies)
+        return ", ".join(text for applies, text in named if applies)
 
 
 @dataclass(slots=True)
@@ -126,7 +126,7 @@
         self._update_standing()
 
     def set_out_of_step(self, reason: str) -> None:
-        """Set why the group can't step, which takes the endpoint out of routing; empty if it can."""
+        """Take the endpoint out of routing with a reason, or return it with an empty one."""
         self.out_of_step = reason
         self._update_standing()
 
@@ -180,8 +180,8 @@
         """
         key = f"{peer.name}:{peer.incarnation}"
         sent = self._sent.get(key, 0)
-        fresh = [event for event in self._events if event.number > sent]
-        run = _without_gap(fresh)
+        unsent = [event for event in self._events if event.number > sent]
+        run = _contiguous_prefix(unsent)
         if not run:
             return CacheEvents(first=sent + 1)
         self._sent[key] = run[-1].number
@@ -226,7 +226,7 @@
         return Standing(ServingState.SERVING, "")
 
 
-def _without_gap(events: list[CacheChange]) -> list[CacheChange]:
+def _contiguous_prefix(events: list[CacheChange]) -> list[CacheChange]:
     run: list[CacheChange] = []
     for event in events:
         if run and event.number != run[-1].number + 1:
--- a/carawayhub/agent/vmwatch.py
+++ b/carawayhub/agent/vmwatch.py
@@ -21,7 +21,7 @@
         absent_seconds: Seconds for which a VM must be missing.
     """
 
-    __slots__ = ("_absent", "_absent_seconds", "_clock", "_listed", "_accepted_count")
+    __slots__ = ("_absent", "_absent_seconds", "_accepted_count", "_clock", "_listed")
 
     def __init__(self, clock: Clock, absent_seconds: float = ABSENT_SECONDS) -> None:
         self._clock = clock
--- a/tests/test_checked_writes.py
+++ b/tests/test_checked_writes.py
@@ -35,8 +35,9 @@
 
         The VM is suspended after the check of an order, before the connection for it is open, and
         is replaced. The old VM resumes during the connect and sends the order beside those of its
-        successor. Orders that had passed the check when an agent was stopped for 2.2 s reached
-        their ranks 6 and 27 ms after it resumed.
+        successor. In a fleet of processes an agent was stopped for 2.2 s when four orders had
+        passed the check: one reached its rank before the stop, and two reached theirs 6 and 27 ms
+        after the agent resumed.
         """
         clock = ManualClock()
         pauses = PauseDetector(clock, frozenset({View.CONFIGURATION}))
@@ -57,16 +58,17 @@
     async def test_no_order_leaves_after_a_pause_within_its_last_check(self) -> None:
         """Guards against an order of a replaced agent that is suspended during its last check.
 
-        The suspension falls after the check has read the clock and before the order is written.
+        The suspension falls after the check has read the clock and before the order is written. A
+        delay of 1 ms at this point reproduced the fault in a fleet of processes.
         """
         clock = ManualClock()
         pauses = PauseDetector(clock, frozenset({View.CONFIGURATION}))
 
-        asked = count(1)
+        check_calls = count(1)
 
         def may_send() -> bool:
             passed = not pauses.check()
-            if next(asked) == BODY_WRITE:
+            if next(check_calls) == BODY_WRITE:
                 clock.advance(SUSPENDED_S)
             return passed
 
@@ -114,12 +116,12 @@
         If only its first write were checked, the rest would be sent when the process resumes.
         """
         received_bytes = 0
-        asked = 0
+        check_calls = 0
 
         def may_send() -> bool:
-            nonlocal asked
-            asked += 1
-            return asked < 3
+            nonlocal check_calls
+            check_calls += 1
+            return check_calls < 3
 
         async def count_bytes(client: SocketStream) -> None:
             nonlocal received_bytes
--- a/tests/test_groups_agent.py
+++ b/tests/test_groups_agent.py
@@ -147,7 +147,10 @@
         self.assertIsNone(led_group(self.cfg, LocalAgent(self.first, "10.9.9.9:7000")))
 
     def test_no_ticket_names_an_endpoint_whose_group_cannot_step(self) -> None:
-        """A caller would wait at an endpoint that its own agent reports as serving."""
+        """Guards against a ticket for an endpoint that only its own agent reports as serving.
+
+        Its group can't step, and the caller would wait there.
+        """
         reports = Reports()
         reports.configure(self.cfg)
         reports.observe(report(self.second), 0.0, 0.0)
