--- a/carawayhub/agent/follower.py
+++ b/carawayhub/agent/follower.py
@@ -1,4 +1,4 @@
-"""An agent beside further ranks of a lock-step group: it learns whether the group can step."""
+"""Polls the leader of a lock-step group for whether the group can step."""
 
 from dataclasses import dataclass
 
@@ -6,7 +6,7 @@
 from anyio.abc import TaskGroup
 
 from carawayhub.addresses import Address
-from carawayhub.agent.grouptask import Seat
+from carawayhub.agent.grouptask import LocalAgent
 from carawayhub.agent.reporter import Reporter
 from carawayhub.config.leaders import group_leaders
 from carawayhub.config.model import Configuration
@@ -15,7 +15,7 @@
 from carawayhub.peers.messages import StandingReply, StandingRequest
 from carawayhub.peers.methods import STANDING
 
-ASK_INTERVAL = 1.0
+POLL_INTERVAL_SECONDS = 1.0
 ANSWER_TIMEOUT = 1.0
 FAILURES_UNTIL_UNKNOWN = 3
 
@@ -29,24 +29,27 @@
 
 
 class GroupFollower:
-    """Asks the agent beside rank 0 each second whether the group can step, and reports the same.
+    """Polls the agent beside rank 0 each second for whether the group can step, and reports it.
 
-    An entry of a large fleet keeps links with few agents, and often with one of a group but not
-    with that beside its rank 0. It would send requests to a group that cannot step, since the
-    agent it hears only sees its own engine. Where the other agent cannot be asked nothing is known,
-    and the endpoint stays in routing: the group goes on stepping without that agent.
+    In a large fleet an entry has links to few agents, often to one of a group but not to the one
+    beside rank 0. Without the poll it would route requests to a group that can't step, since the
+    agent that it is linked to sees only its own engine. If the agent beside rank 0 can't be
+    reached, the state is unknown and the endpoint stays in routing: the group keeps stepping
+    without that agent.
 
     Args:
-        seat: Which agent this is.
-        calls: Calls other agents.
-        reporter: Told when the group cannot step.
-        tasks: Where the asking runs.
+        local_agent: This agent.
+        calls: Client for calls to other agents.
+        reporter: Receives the reason why the group can't step, empty if it can.
+        tasks: Task group in which the polling runs.
     """
 
-    __slots__ = ("_calls", "_leader", "_reporter", "_scope", "_seat", "_tasks")
+    __slots__ = ("_calls", "_leader", "_local_agent", "_reporter", "_scope", "_tasks")
 
-    def __init__(self, seat: Seat, calls: CallClient, reporter: Reporter, tasks: TaskGroup) -> None:
-        self._seat = seat
+    def __init__(
+        self, local_agent: LocalAgent, calls: CallClient, reporter: Reporter, tasks: TaskGroup
+    ) -> None:
+        self._local_agent = local_agent
         self._calls = calls
         self._reporter = reporter
         self._tasks = tasks
@@ -54,8 +57,8 @@
         self._scope: anyio.CancelScope | None = None
 
     def configured(self, cfg: Configuration) -> None:
-        """Begin, change or end the asking as a version that came into force says."""
-        name = group_leaders(cfg).get(self._seat.endpoint)
+        """Start, redirect or stop the polling as the new configuration version requires."""
+        name = group_leaders(cfg).get(self._local_agent.endpoint)
         leader = None if name is None else _Leader(name, Address.parse(cfg.endpoints[name].agent))
         if leader == self._leader:
             return
@@ -66,14 +69,14 @@
             self._reporter.set_out_of_step("")
         if leader is not None:
             self._scope = anyio.CancelScope()
-            self._tasks.start_soon(self._follow, leader, self._scope)
+            self._tasks.start_soon(self._poll_until_cancelled, leader, self._scope)
 
-    async def _follow(self, leader: _Leader, scope: anyio.CancelScope) -> None:
+    async def _poll_until_cancelled(self, leader: _Leader, scope: anyio.CancelScope) -> None:
         failures = 0
         with scope:
             while True:
                 try:
-                    reason = await self._ask(leader)
+                    reason = await self._poll_leader(leader)
                 except PeerError:
                     failures += 1
                     if failures == FAILURES_UNTIL_UNKNOWN:
@@ -81,9 +84,9 @@
                 else:
                     failures = 0
                     self._reporter.set_out_of_step(reason)
-                await anyio.sleep(ASK_INTERVAL)
+                await anyio.sleep(POLL_INTERVAL_SECONDS)
 
-    async def _ask(self, leader: _Leader) -> str:
+    async def _poll_leader(self, leader: _Leader) -> str:
         request = StandingRequest(endpoint=leader.name)
         reply: StandingReply = await self._calls.call(
             leader.address, STANDING, request, ANSWER_TIMEOUT
--- a/carawayhub/agent/grouptask.py
+++ b/carawayhub/agent/grouptask.py
@@ -1,4 +1,4 @@
-"""The lock-step group that an agent decides for: the one whose rank 0 its endpoint holds."""
+"""Runs the decider of the lock-step group whose rank 0 belongs to this agent's endpoint."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -26,21 +26,21 @@
 from carawayhub.peers.messages import ServingState, StandingReply, StandingRequest
 from carawayhub.process.status import GroupStatusRow
 
-WATCH_INTERVAL = 0.25
-CHECK_WAIT = 60.0
-HANDOVER_GRACE = 2.0
-GIVER_HEADER = "carawayhub-giver"
-UNLEASED_REASON = "too few witnesses confirm that its agent decides for it"
+WATCH_INTERVAL_SECONDS = 0.25
+CHECK_WAIT_SECONDS = 60.0
+HANDOVER_GRACE_SECONDS = 2.0
+ISSUER_HEADER = "carawayhub-giver"
+NO_LEASE_REASON = "too few witnesses confirm that its agent decides for it"
 PAUSED_REASON = "its agent was paused and has not checked its configuration since"
 
 
 @dataclass(frozen=True, slots=True)
-class Seat:
-    """Which agent this is.
+class LocalAgent:
+    """The endpoint and addresses of this agent.
 
     Attributes:
         endpoint: Name of its endpoint.
-        address: ``ip:port`` at which it takes calls.
+        address: ``ip:port`` on which it accepts calls.
         source: IP number to connect from, empty for any.
     """
 
@@ -51,13 +51,13 @@
 
 @dataclass(frozen=True, slots=True)
 class _Plan:
-    """What a decider is made of; one is replaced where this changes.
+    """The configuration of a decider; a change replaces the decider.
 
     Attributes:
         group: The group.
         urls: Address of each of its endpoints, in the order of their ranks.
         options: Timing and staging rate.
-        horizon: Seconds for which a better balance is expected to last.
+        horizon: Seconds for which an improved balance is expected to last.
     """
 
     group: ModelGroup
@@ -67,18 +67,18 @@
 
 
 class GroupTask:
-    """Runs the decider of one group for as long as the configuration says that it is this agent's.
+    """Runs the decider of a group while the configuration assigns the group to this agent.
 
     Args:
-        seat: Which agent this is.
-        paused: Whether a pause of this process put in doubt what it knows.
-        checked: Waits some seconds for that doubt to end; returns whether it did.
-        lease: Says whether this agent may order the ranks.
-        reporter: Told when the group cannot step, so that entries send it nothing.
+        local_agent: This agent.
+        paused: Returns whether the configuration is unverified since a pause of this process.
+        checked: Waits up to some seconds for verification; returns whether it succeeded.
+        lease: Lease that permits this agent to order the ranks.
+        reporter: Receives whether the group can step, so that entries stop routing to it if not.
         clock: Source of time.
         rng: Source of the decider's number and of jitter.
-        audit: Takes what the decider does.
-        tasks: Where the decider runs.
+        audit: Records the decider's actions.
+        tasks: Task group in which the decider runs.
     """
 
     __slots__ = (
@@ -87,19 +87,19 @@
         "_clock",
         "_draining",
         "_lease",
+        "_local_agent",
         "_paused",
         "_plan",
         "_reporter",
         "_rng",
         "_scope",
-        "_seat",
         "_status",
         "_tasks",
     )
 
     def __init__(
         self,
-        seat: Seat,
+        local_agent: LocalAgent,
         paused: Callable[[], bool],
         checked: Callable[[float], Awaitable[bool]],
         lease: LeaseKeeper,
@@ -109,7 +109,7 @@
         audit: AuditTrail,
         tasks: TaskGroup,
     ) -> None:
-        self._seat = seat
+        self._local_agent = local_agent
         self._paused = paused
         self._checked = checked
         self._lease = lease
@@ -124,31 +124,33 @@
         self._status: GroupStatus | None = None
 
     def configured(self, cfg: Configuration) -> None:
-        """Begin, change or end the task as a version that came into force says."""
-        plan = _plan(cfg, self._seat)
+        """Start, replace or stop the decider as the new configuration version requires."""
+        plan = _plan(cfg, self._local_agent)
         self._lease.configured(cfg, None if plan is None else plan.group)
-        self._draining = plan is not None and _drains(cfg, plan.group)
+        self._draining = plan is not None and _is_draining(cfg, plan.group)
         if plan == self._plan:
             return
         before, self._plan = self._plan, plan
-        goes_on = before is not None and plan is not None and before.urls == plan.urls
-        goes_on = goes_on and self._status is not None and self._status.formed
+        continues = before is not None and plan is not None and before.urls == plan.urls
+        continues = continues and self._status is not None and self._status.formed
         decides_for = "" if plan is None else plan.group.name
-        logger.bind(version=cfg.version, group=decides_for).info("decider begins or ends")
+        logger.bind(version=cfg.version, group=decides_for).info(
+            "decider started, replaced or stopped"
+        )
         if self._scope is not None:
             self._scope.cancel()
             self._scope = None
         self._status = None
-        if not goes_on:
+        if not continues:
             first = "the ranks of its group are not in one formation yet"
             self._reporter.set_out_of_step("" if plan is None else first)
         if plan is not None:
             self._scope = anyio.CancelScope()
-            silent = self._clock.monotonic() + (HANDOVER_GRACE if goes_on else 0.0)
+            silent = self._clock.monotonic() + (HANDOVER_GRACE_SECONDS if continues else 0.0)
             self._tasks.start_soon(self._decide, cfg, plan, self._scope, silent)
 
     def rows(self) -> tuple[GroupStatusRow, ...]:
-        """Return the group's row on the status page, nothing without a group."""
+        """Return the group's row of the status page, or no rows without a group."""
         status = self._status
         if status is None:
             return ()
@@ -158,26 +160,34 @@
             skew=status.skew,
             decision=status.changing or status.decision,
             reason=status.reason,
-            out_of_routing=self._why_out_of_step(status),
+            out_of_routing=self._out_of_step_reason(status),
         )
         return (row,)
 
     async def standing(self, sender: str, req: StandingRequest) -> StandingReply:
-        """Answer an agent beside other ranks of the group that asks whether it can step."""
-        if self._plan is None or req.endpoint != self._seat.endpoint:
+        """Report whether the group can step to an agent that runs beside its other ranks."""
+        if self._plan is None or req.endpoint != self._local_agent.endpoint:
             return StandingReply()
         return StandingReply(out_of_step=self._reporter.out_of_step)
 
     async def _decide(
-        self, cfg: Configuration, plan: _Plan, scope: anyio.CancelScope, silent_until: float
+        self,
+        cfg: Configuration,
+        plan: _Plan,
+        scope: anyio.CancelScope,
+        report_not_formed_after: float,
     ) -> None:
         group = plan.group
-        clients = rank_clients(plan, self._seat, self._may_send)
+        clients = rank_clients(plan, self._local_agent, self._may_send)
         ports: list[RankPort] = [
             LeasedRank(CheckedRank(client, self._checked), self._lease.valid) for client in clients
         ]
         signals = _Signals(
-            plan, self._reporter, self._checked, self._lease.held, lambda: self._draining
+            plan,
+            self._reporter,
+            self._checked,
+            self._lease.held,
+            lambda: self._draining,
         )
         decider = GroupDecider(
             group,
@@ -195,7 +205,7 @@
             try:
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(decider.run)
-                    tasks.start_soon(self._follow, decider.status, silent_until)
+                    tasks.start_soon(self._report_status, decider.status, report_not_formed_after)
             finally:
                 with anyio.CancelScope(shield=True):
                     await signals.close()
@@ -205,29 +215,29 @@
     def _may_send(self) -> bool:
         return self._lease.valid() and not self._paused()
 
-    async def _follow(self, status: GroupStatus, silent_until: float) -> None:
-        """Keep the report in line with the decider's view of the group.
+    async def _report_status(self, status: GroupStatus, report_not_formed_after: float) -> None:
+        """Copy the decider's view of the group to the reporter.
 
-        A decider that replaces one of a formed group, as when a weight was changed, has not read
-        the ranks yet: until ``silent_until`` it does not take the group out of routing.
+        A decider that replaces one of a formed group, for example after a weight change, has not
+        read the ranks yet. Until ``report_not_formed_after`` the group therefore stays in routing.
         """
         while True:
-            if status.formed or self._clock.monotonic() >= silent_until:
+            if status.formed or self._clock.monotonic() >= report_not_formed_after:
                 self._reporter.map_number = status.map_number
                 self._reporter.skew = status.skew
-                self._reporter.set_out_of_step(self._why_out_of_step(status))
-            await anyio.sleep(WATCH_INTERVAL)
+                self._reporter.set_out_of_step(self._out_of_step_reason(status))
+            await anyio.sleep(WATCH_INTERVAL_SECONDS)
 
-    def _why_out_of_step(self, status: GroupStatus) -> str:
+    def _out_of_step_reason(self, status: GroupStatus) -> str:
         if status.formed:
             return ""
         if not self._lease.valid():
-            return UNLEASED_REASON
-        return PAUSED_REASON if self._paused() else _why_not_formed(status)
+            return NO_LEASE_REASON
+        return PAUSED_REASON if self._paused() else _not_formed_reason(status)
 
 
 class _Signals:
-    """What this agent knows of its group; see ``GroupSignals``."""
+    """Implements ``GroupSignals`` with what this agent knows of its group."""
 
     __slots__ = ("_checked", "_counters", "_draining", "_held", "_plan", "_reporter")
 
@@ -247,17 +257,17 @@
         self._counters = EngineCounters(plan.urls[0], plan.group.layers, plan.group.experts)
 
     async def counters(self) -> ExpertCounters | None:
-        """Return the newest counters, None where there are none.
+        """Return the latest counters, or None if there are none.
 
-        A decision follows at once. A paused agent may have been replaced, or its group changed, so
-        it waits here until it has checked its configuration; a new one ends the decider.
+        The decider acts on them at once. A paused agent may have been replaced, or its group
+        changed, so this waits until the configuration is verified; a new one stops the decider.
         """
-        while not await self._checked(CHECK_WAIT):
+        while not await self._checked(CHECK_WAIT_SECONDS):
             pass
         return await self._counters.read()
 
     def situation(self) -> Situation:
-        """Return load, drain and what else the policy weighs."""
+        """Return the load, the drain state and the other inputs of the policy."""
         load = self._reporter.load
         return Situation(
             draining=self._draining() or self._reporter.state is ServingState.LEAVING,
@@ -268,7 +278,7 @@
         )
 
     async def wait_until_permitted(self) -> None:
-        """Return once this agent may give orders."""
+        """Wait until this agent may issue orders."""
         await self._held()
 
     async def close(self) -> None:
@@ -276,34 +286,36 @@
         await self._counters.close()
 
 
-def led_group(cfg: Configuration, seat: Seat) -> ModelGroup | None:
-    """Return the lock-step group whose rank 0 an agent's endpoint holds, None for none.
+def led_group(cfg: Configuration, local_agent: LocalAgent) -> ModelGroup | None:
+    """Return the lock-step group whose rank 0 belongs to the agent's endpoint, or None.
 
-    A group of a single rank has nothing to agree on and needs no decider. An agent at another
-    address than the configuration names is that of a VM that was replaced: it decides nothing.
+    A group with a single rank has nothing to coordinate and needs no decider. An agent whose
+    address differs from the configured one runs on a replaced VM and decides for no group.
     """
     for group in cfg.groups.values():
-        if group.ranks > 1 and group.endpoints[0] == seat.endpoint:
-            return group if cfg.endpoints[seat.endpoint].agent == seat.address else None
+        if group.ranks > 1 and group.endpoints[0] == local_agent.endpoint:
+            return (
+                group if cfg.endpoints[local_agent.endpoint].agent == local_agent.address else None
+            )
     return None
 
 
-def rank_clients(plan: _Plan, seat: Seat, may_send: MaySend) -> list[HttpRank]:
-    """Return a client of each rank; ranks are spread evenly over the endpoints, in order.
+def rank_clients(plan: _Plan, local_agent: LocalAgent, may_send: MaySend) -> list[HttpRank]:
+    """Return a client for each rank; the endpoints hold equal, consecutive shares of the ranks.
 
-    Each order names its giver, for engines that check who gives it.
+    Each order carries the name of its issuer, for engines that check it.
     """
     ranks = plan.group.ranks
-    each = ranks // len(plan.urls)
-    headers = {GIVER_HEADER: seat.endpoint}
+    ranks_per_endpoint = ranks // len(plan.urls)
+    headers = {ISSUER_HEADER: local_agent.endpoint}
     return [
-        HttpRank(plan.urls[rank // each], rank, headers, seat.source, may_send)
+        HttpRank(plan.urls[rank // ranks_per_endpoint], rank, headers, local_agent.source, may_send)
         for rank in range(ranks)
     ]
 
 
-def _plan(cfg: Configuration, seat: Seat) -> _Plan | None:
-    group = led_group(cfg, seat)
+def _plan(cfg: Configuration, local_agent: LocalAgent) -> _Plan | None:
+    group = led_group(cfg, local_agent)
     if group is None:
         return None
     sharing = sum(each.ranks > 1 for each in cfg.groups.values())
@@ -317,11 +329,11 @@
     return _Plan(group, urls, options, cfg.fleet.gain_horizon)
 
 
-def _drains(cfg: Configuration, group: ModelGroup) -> bool:
+def _is_draining(cfg: Configuration, group: ModelGroup) -> bool:
     return any(cfg.endpoints[name].state is EndpointState.LEAVING for name in group.endpoints)
 
 
-def _why_not_formed(status: GroupStatus) -> str:
+def _not_formed_reason(status: GroupStatus) -> str:
     if status.lost_ranks:
         return f"ranks {', '.join(map(str, status.lost_ranks))} of its group do not answer"
     return "the ranks of its group are not in one formation"
--- a/carawayhub/agent/homes.py
+++ b/carawayhub/agent/homes.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 from carawayhub.agent.begin import Refuse
-from carawayhub.agent.fence import RETRY_AFTER, Established, Fence, Missing
+from carawayhub.agent.fence import RETRY_AFTER_SECONDS, Established, Fence, Missing
 from carawayhub.agent.keyset import KeySet, KeySets, key_set
 from carawayhub.agent.keytiming import KeyTiming
 from carawayhub.agent.ledger import Ledger
@@ -94,7 +94,7 @@
         if fence is None:
             return Refuse(
                 Code.RUN_HOME_UNREACHABLE,
-                RETRY_AFTER,
+                RETRY_AFTER_SECONDS,
                 f"the agent has no configuration of {key.scope}",
             )
         return fence.admit(key)
@@ -148,7 +148,7 @@
 
     def take(self, reply: FenceReply, ledger: Ledger) -> bool:
         """Apply a peer's reply; return whether it was a valid promise."""
-        return self._fence(reply.scope).take(reply, ledger)
+        return self._fence(reply.scope).accept_reply(reply, ledger)
 
     def take_handover(self, handover: Handover, ledger: Ledger) -> HandoverTaken:
         """Merge a part of the ledger of an agent that stops.
@@ -160,7 +160,7 @@
         if self._closing:
             raise PeerError(Code.PEER_SILENT, f"{self.member.endpoint} is also stopping")
         ledger.merge(handover.entries)
-        self._fence(handover.scope).take_handover(handover)
+        self._fence(handover.scope).record_handover(handover)
         return HandoverTaken(
             scope=handover.scope,
             receiver=self.member,
--- a/carawayhub/agent/process.py
+++ b/carawayhub/agent/process.py
@@ -1,4 +1,4 @@
-"""The agent process: its parts joined, from start to planned stop."""
+"""The agent process: its components, startup and planned stop."""
 
 from collections.abc import Sequence
 
@@ -10,7 +10,7 @@
 from carawayhub.addresses import Address
 from carawayhub.agent.follower import GroupFollower
 from carawayhub.agent.gate import Gate
-from carawayhub.agent.grouptask import GroupTask, Seat
+from carawayhub.agent.grouptask import GroupTask, LocalAgent
 from carawayhub.agent.homes import Homes
 from carawayhub.agent.keys import KeyCoordinator
 from carawayhub.agent.leasekeeper import LeaseKeeper
@@ -46,17 +46,17 @@
 from carawayhub.process.status import EndpointStatus, ProcessStatus
 from carawayhub.settings import AgentSettings
 
-DRAIN_POLL = 0.05
-HANDOVER_BOUND = 10.0
+DRAIN_POLL_SECONDS = 0.05
+HANDOVER_TIMEOUT_SECONDS = 10.0
 
 
 class AgentProcess:
-    """One agent; see ``MemberRole`` for the part it plays in the fleet.
+    """One agent; see ``MemberRole`` for its role in the fleet.
 
     Args:
-        runtime: Its surroundings.
-        settings: Its settings.
-        tasks: Where runs go on after their caller has left.
+        runtime: Runtime environment of the process.
+        settings: Settings of the agent.
+        tasks: Task group in which runs continue after their caller has disconnected.
     """
 
     def __init__(self, runtime: Runtime, settings: AgentSettings, tasks: TaskGroup) -> None:
@@ -87,12 +87,12 @@
             tasks,
         )
         source = Address.parse(settings.peer_listen).host
-        seat = Seat(identity.name, identity.address, source)
-        self._follower = GroupFollower(seat, member.calls, self._reporter, tasks)
+        local_agent = LocalAgent(identity.name, identity.address, source)
+        self._follower = GroupFollower(local_agent, member.calls, self._reporter, tasks)
         holder = Holder(identity.name, identity.address, identity.vm)
         self._lease = LeaseKeeper(holder, member.calls, clock, runtime.rng)
         self._group = GroupTask(
-            seat,
+            local_agent,
             member.knowledge.pauses.check,
             member.knowledge.checked,
             self._lease,
@@ -106,7 +106,7 @@
         self._watched: tuple[str, bool] | None = None
 
     async def run(self) -> None:
-        """Serve until a planned stop has come to its end."""
+        """Serve until a planned stop is complete."""
         operators = HttpServer(self._operators(), self.runtime.operator_socket)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.runtime.host.watch_stop, self.runtime.stop)
@@ -114,7 +114,7 @@
             tasks.start_soon(self._keys.run)
             tasks.start_soon(self._lease.run)
             tasks.start_soon(operators.run)
-            await self._stop_in_order()
+            await self._drain_and_stop()
             tasks.cancel_scope.cancel()
         await self._upstream.close()
 
@@ -126,12 +126,13 @@
     async def _run_once(self, sender: str, req: RunRequest) -> RunReply:
         return await self._gate.run(sender, req)
 
-    async def _stop_in_order(self) -> None:
-        """End the process so that no request is cut and no key forgotten.
+    async def _drain_and_stop(self) -> None:
+        """Stop the process without aborting a request or losing the record of a key.
 
-        New work stops at once, also from entries that have not heard: their permits run out. What
-        runs at the endpoint ends first, then the ledger goes to the other agents. The listening
-        socket closes last, so that no other incarnation can start at this address before.
+        New work is refused at once, and the permits of entries that were not notified expire.
+        Requests at the endpoint finish first, then the ledger is handed over to the other agents.
+        The listening socket closes last, so that no other incarnation can start at this address
+        before.
         """
         runtime = self.runtime
         await runtime.stop.wait()
@@ -141,17 +142,21 @@
         permit = runtime.member.knowledge.fleet.permit_ttl
         await anyio.sleep(permit + runtime.member.heartbeat_interval())
         while self._busy():
-            await anyio.sleep(DRAIN_POLL)
-        whole = await self._keys.hand_over(runtime.clock.monotonic() + HANDOVER_BOUND)
-        reason = "all work has ended" if whole else "handover not taken by all; keys stay unknown"
+            await anyio.sleep(DRAIN_POLL_SECONDS)
+        whole = await self._keys.hand_over(runtime.clock.monotonic() + HANDOVER_TIMEOUT_SECONDS)
+        reason = (
+            "all work has ended"
+            if whole
+            else "handover not accepted by all peers; the state of some keys stays unknown"
+        )
         runtime.audit.record(Subject.PROCESS, runtime.identity.key, "leaving", "stopped", reason)
 
     def _busy(self) -> bool:
         load = self._reporter.load
         return self._ledger.running() > 0 or load.running > 0 or load.queued > 0
 
-    def _follow(self, cfg: Configuration, endpoint: Endpoint) -> None:
-        """Watch the endpoint at the address that the configuration gives."""
+    def _watch_endpoint(self, cfg: Configuration, endpoint: Endpoint) -> None:
+        """Poll the endpoint at its configured address."""
         wanted = (endpoint.url, is_engine(cfg, endpoint))
         if wanted == self._watched:
             return
@@ -174,10 +179,10 @@
                 with anyio.CancelScope(shield=True):
                     await watch.close()
 
-    # The agent as a member of the fleet.
+    # Callbacks of the fleet member.
 
     def configured(self, cfg: Configuration) -> None:
-        """Take a version that came into force."""
+        """Apply a configuration version."""
         self._reporter.configured(cfg)
         self._gate.configured(cfg)
         self._keys.configured(cfg)
@@ -185,28 +190,28 @@
         self._follower.configured(cfg)
         endpoint = cfg.endpoints.get(self.runtime.identity.name)
         if endpoint is not None:
-            self._follow(cfg, endpoint)
+            self._watch_endpoint(cfg, endpoint)
 
     async def peers(self, cfg: Configuration, vms: VmList | None) -> Sequence[WantedPeer]:
         """Return no peers: entries open the links."""
         return ()
 
     def listed(self, vms: VmList) -> None:
-        """Take a VM list."""
+        """Apply a VM list."""
         self._reporter.listed(vms)
         self._keys.listed(vms)
 
     def replied(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
-        """Take nothing: an agent opens no links."""
+        """Do nothing: an agent opens no links."""
 
     def lost(self, peer: Peer) -> None:
-        """Take nothing: an agent opens no links."""
+        """Do nothing: an agent opens no links."""
 
     def members_changed(self) -> None:
-        """Take nothing: an agent opens no links."""
+        """Do nothing: an agent opens no links."""
 
     def heard(self, peer: Hello, heartbeat: Heartbeat) -> None:
-        """Take nothing: what counts of an entry's heartbeat is its version."""
+        """Do nothing: only the version of an entry's heartbeat matters."""
 
     def report(self, peer: Hello) -> EndpointReport | None:
         """Return the report on the endpoint."""
@@ -217,10 +222,10 @@
         return ()
 
     def ends(self, peer: Peer, sequence: int) -> tuple[EndsRow, ...]:
-        """Return nothing: entries see what their requests end under."""
+        """Return nothing: entries observe how their requests end."""
         return ()
 
-    # What operators see.
+    # Interface for operators.
 
     def _operators(self) -> Operators:
         return Operators(
@@ -249,11 +254,11 @@
 
 
 async def run_agent(settings: AgentSettings, host: Host | None = None) -> None:
-    """Run an agent until it was asked to stop and its work is done.
+    """Run an agent until it is asked to stop and its work is complete.
 
     Args:
-        settings: Its settings.
-        host: What it runs in; the process itself if None.
+        settings: Settings of the agent.
+        host: Host that the agent runs in; the process itself if None.
 
     Raises:
         CommandError: PORT_IN_USE.
--- a/carawayhub/agent/reporter.py
+++ b/carawayhub/agent/reporter.py
@@ -1,4 +1,4 @@
-"""What an agent knows of its endpoint and reports to entries."""
+"""Polls the endpoint of an agent and builds the reports for entries."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -14,15 +14,15 @@
 from carawayhub.peers.messages import CacheEvents, EndpointReport, Hello, ServingState
 from carawayhub.platform.ports import VmList, VmState
 
-POLL_INTERVAL = 0.5
-FAILED_POLL_INTERVAL = 0.25
+POLL_INTERVAL_SECONDS = 0.5
+FAILED_POLL_INTERVAL_SECONDS = 0.25
 FAILURES_UNTIL_FAILED = 3
-EVENTS_KEPT = 2048
+MAX_KEPT_EVENTS = 2048
 
 
 @dataclass(slots=True)
 class Standing:
-    """Whether new work may go to the endpoint, and why not."""
+    """Serving state of the endpoint, with the reason if it is not serving."""
 
     state: ServingState
     reason: str
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class _LeavingSources:
-    """Who says that the endpoint is leaving; any one of them is enough."""
+    """Sources that mark the endpoint as leaving; any one is sufficient."""
 
     configuration: bool = False
     vm_list: bool = False
@@ -38,16 +38,16 @@
 
     def reason(self) -> str:
         named = (
-            (self.configuration, "the configuration says so"),
-            (self.vm_list, "the VM list says so"),
+            (self.configuration, "leaving according to the configuration"),
+            (self.vm_list, "leaving according to the VM list"),
             (self.stop, "its agent is stopping"),
         )
-        return ", ".join(text for said, text in named if said)
+        return ", ".join(text for applies, text in named if applies)
 
 
 @dataclass(slots=True)
-class _Heard:
-    """The latest load and when it was heard."""
+class _LatestLoad:
+    """The latest load and when it was received."""
 
     load: Load = field(default_factory=Load)
     at: float = 0.0
@@ -55,15 +55,15 @@
 
 
 class Reporter:
-    """Polls the endpoint and makes reports.
+    """Polls the endpoint and builds its reports.
 
     Args:
         endpoint: Name of the endpoint.
         vm: Name of its VM.
-        incarnation: The agent's.
+        incarnation: Incarnation of the agent.
         clock: Source of time.
-        audit: Takes changes of state.
-        announce: Called when entries must hear of a change at once.
+        audit: Records changes of state.
+        announce: Called when entries must receive a change at once.
     """
 
     def __init__(
@@ -82,10 +82,10 @@
         self._audit = audit
         self._announce = announce
         self._leaving = _LeavingSources()
-        self._heard = _Heard()
+        self._latest_load = _LatestLoad()
         self._cfg: Configuration | None = None
         self._events: list[CacheChange] = []
-        self._standing = Standing(ServingState.STARTING, "it has not been heard yet")
+        self._standing = Standing(ServingState.STARTING, "no load received yet")
         self._sent: dict[str, int] = {}
         self.map_number = 0
         self.skew = 1.0
@@ -99,60 +99,60 @@
 
     @property
     def reason(self) -> str:
-        """Why it is not serving, empty where it is."""
+        """Why the endpoint is not serving, empty if it is."""
         return self._standing.reason
 
     @property
     def load(self) -> Load:
-        """The load that was heard last."""
-        return self._heard.load
+        """The latest load that was received."""
+        return self._latest_load.load
 
     def configured(self, cfg: Configuration) -> None:
-        """Take a version into force; an endpoint that it does not name is leaving."""
+        """Apply a configuration version; an endpoint that it doesn't name is leaving."""
         self._cfg = cfg
         found = cfg.endpoints.get(self._endpoint)
         self._leaving.configuration = found is None or found.state is EndpointState.LEAVING
-        self._settle()
+        self._update_standing()
 
     def listed(self, vms: VmList) -> None:
-        """Take the platform's list; a VM that it does not have may just be too new."""
+        """Apply the platform's VM list; a VM missing from it may just be too new."""
         states = {vm.name: vm.state for vm in vms.vms}
         self._leaving.vm_list = states.get(self._vm) is VmState.LEAVING
-        self._settle()
+        self._update_standing()
 
     def stopping(self) -> None:
-        """Note that the agent was asked to stop."""
+        """Record that the agent is stopping."""
         self._leaving.stop = True
-        self._settle()
+        self._update_standing()
 
     def set_out_of_step(self, reason: str) -> None:
-        """Take the endpoint out of routing while its group cannot step, with the reason."""
+        """Take the endpoint out of routing with a reason, or return it with an empty one."""
         self.out_of_step = reason
-        self._settle()
+        self._update_standing()
 
     async def poll(self, watch: EndpointWatch) -> None:
-        """Ask the endpoint for load and cache events until cancelled."""
+        """Poll the endpoint for load and cache events until cancelled."""
         after = 0
         while True:
-            pause = POLL_INTERVAL
+            pause = POLL_INTERVAL_SECONDS
             try:
                 load = await watch.load()
                 changes = await watch.cache_changes(after)
             except PlatformError as exc:
                 self._failed(exc)
-                pause = FAILED_POLL_INTERVAL
+                pause = FAILED_POLL_INTERVAL_SECONDS
             else:
-                self._heard = _Heard(load, self._clock.monotonic(), 0)
-                self._events = [*self._events, *changes][-EVENTS_KEPT:]
+                self._latest_load = _LatestLoad(load, self._clock.monotonic(), 0)
+                self._events = [*self._events, *changes][-MAX_KEPT_EVENTS:]
                 after = changes[-1].number if changes else after
-                self._settle()
+                self._update_standing()
             await anyio.sleep(pause)
 
     def report(self, peer: Hello, epoch: int) -> EndpointReport:
         """Return the report for one entry."""
         fleet = FleetOptions() if self._cfg is None else self._cfg.fleet
         serving = self._standing.state is ServingState.SERVING
-        load = self._heard.load
+        load = self._latest_load.load
         return EndpointReport(
             endpoint=self._endpoint,
             incarnation=self._incarnation,
@@ -161,27 +161,27 @@
             running=max(load.running, self.gate_running),
             queued=load.queued,
             capacity=max(load.capacity, 1),
-            load_age=self._clock.monotonic() - self._heard.at,
+            load_age=self._clock.monotonic() - self._latest_load.at,
             step_seconds=load.step_seconds,
             tokens_rate=load.tokens_rate,
             ticket_epoch=epoch,
             map_number=self.map_number,
             skew=self.skew,
             reason=self._standing.reason,
-            cache=self._news(peer),
+            cache=self._unsent_cache_events(peer),
             reading=self._clock.monotonic(),
         )
 
-    def _news(self, peer: Hello) -> CacheEvents:
-        """Return the cache events that this peer was not sent yet, as far as they are in order.
+    def _unsent_cache_events(self, peer: Hello) -> CacheEvents:
+        """Return the cache events not yet sent to this peer, up to the first gap.
 
-        Events are sent once: the link keeps order and loses none while it stands, and a peer that
-        opens a new link gets all that is kept. A gap shows by the number of the first.
+        Each event is sent once: an open link keeps their order and loses none, and a peer that
+        opens a new link gets all kept events. The peer detects a gap by the first number.
         """
         key = f"{peer.name}:{peer.incarnation}"
         sent = self._sent.get(key, 0)
-        fresh = [event for event in self._events if event.number > sent]
-        run = _without_gap(fresh)
+        unsent = [event for event in self._events if event.number > sent]
+        run = _contiguous_prefix(unsent)
         if not run:
             return CacheEvents(first=sent + 1)
         self._sent[key] = run[-1].number
@@ -192,13 +192,13 @@
         )
 
     def _failed(self, exc: PlatformError) -> None:
-        self._heard.failures += 1
-        if self._heard.failures == FAILURES_UNTIL_FAILED:
-            logger.bind(endpoint=self._endpoint).warning("the endpoint does not answer: {}", exc)
-        self._settle()
+        self._latest_load.failures += 1
+        if self._latest_load.failures == FAILURES_UNTIL_FAILED:
+            logger.bind(endpoint=self._endpoint).warning("polling the endpoint failed: {}", exc)
+        self._update_standing()
 
-    def _settle(self) -> None:
-        standing = self._judge()
+    def _update_standing(self) -> None:
+        standing = self._current_standing()
         before = self._standing
         if standing == before:
             return
@@ -209,24 +209,24 @@
                 self._endpoint,
                 before.state.value,
                 standing.state.value,
-                standing.reason or "it answers",
+                standing.reason or "the endpoint is responding",
             )
             self._announce()
 
-    def _judge(self) -> Standing:
+    def _current_standing(self) -> Standing:
         leaving = self._leaving.reason()
         if leaving:
             return Standing(ServingState.LEAVING, leaving)
         if self._cfg is None:
             return Standing(ServingState.STARTING, "no configuration is in force yet")
-        if self._heard.failures >= FAILURES_UNTIL_FAILED:
-            return Standing(ServingState.FAILED, "it does not answer")
+        if self._latest_load.failures >= FAILURES_UNTIL_FAILED:
+            return Standing(ServingState.FAILED, "the endpoint is not responding")
         if self.out_of_step:
             return Standing(ServingState.FAILED, self.out_of_step)
         return Standing(ServingState.SERVING, "")
 
 
-def _without_gap(events: list[CacheChange]) -> list[CacheChange]:
+def _contiguous_prefix(events: list[CacheChange]) -> list[CacheChange]:
     run: list[CacheChange] = []
     for event in events:
         if run and event.number != run[-1].number + 1:
