--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -24,7 +24,7 @@
 from carawayhub.clock import SystemClock
 from carawayhub.platform.settings import SETTINGS_VARIABLE
 from carawayhub.platform.standins import (
-    Ran,
+    RecordedRun,
     StandinReplica,
     StandinStore,
     configuration,
@@ -321,7 +321,7 @@
         statuses = dict(sorted(Counter(ask.status for ask in self.asks).items()))
         return f"{len(self.asks)} requests {statuses}"
 
-    def _check_drain(self, run: Ran) -> None:
+    def _check_drain(self, run: RecordedRun) -> None:
         """Look whether a replica that had said it was leaving got new work much later."""
         since = self.drained.get(run.instance)
         if since is None or run.at <= since + DRAIN_SECONDS + SLACK:
--- a/benchmarks/soak_callers.py
+++ b/benchmarks/soak_callers.py
@@ -6,7 +6,7 @@
 import anyio
 
 from carawayhub.clock import Clock
-from carawayhub.platform.standins import EVENTS, request_head
+from carawayhub.platform.standins import EVENTS_PER_STREAM, request_head
 
 FRONT_PORT, DIRECTORY_PORT = 29227, 29224
 ROUTES = {
@@ -124,5 +124,5 @@
                 ask.wrong = f"answer of another request: {body[:80]!r}"
             return
         numbers = [int(x.split()[1]) for x in body.split(b"\n") if x.startswith(b"id:")]
-        if numbers != list(range(1, EVENTS + 1)):
+        if numbers != list(range(1, EVENTS_PER_STREAM + 1)):
             ask.wrong = f"events {numbers}"
--- a/carawayhub/platform/__init__.py
+++ b/carawayhub/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The port to the users' platform and its HTTP adapter."""
+"""Interfaces to the users' platform and their HTTP adapters."""
--- a/carawayhub/platform/__main__.py
+++ b/carawayhub/platform/__main__.py
@@ -19,9 +19,9 @@
 
 
 def main(words: list[str]) -> int:
-    """Run the role that is named and return the exit status."""
-    signal.signal(signal.SIGTERM, _leave_early)
-    _leave_trio_out()
+    """Run the given role and return the exit status."""
+    signal.signal(signal.SIGTERM, _exit_early)
+    _disable_trio()
     try:
         settings = _read_settings()
         configure_logs(BoundedLines(sys.stdout.fileno()), "INFO", settings.name)
@@ -32,17 +32,17 @@
     return 0
 
 
-def _leave_trio_out() -> None:
-    """Keep httpcore from loading trio where that is installed: anyio runs on asyncio here.
+def _disable_trio() -> None:
+    """Prevent httpcore from importing trio if it is installed; anyio runs on asyncio here.
 
-    A process starts so with 0.5 s of processor time for 0.7 s and takes 35 MB for 39 (measured with
-    /usr/bin/time); after a loss of power all of them start at one moment.
+    Without trio a process starts with 0.5 s of processor time instead of 0.7 s and takes 35 MB
+    instead of 39 MB, which matters after a power failure, when all processes start at once.
     """
     sys.modules.setdefault("trio", None)  # type: ignore[arg-type]
 
 
-def _leave_early(number: int, frame: object) -> None:
-    """End in order where the stop comes before the process serves anything."""
+def _exit_early(number: int, frame: object) -> None:
+    """Exit with status 0 on a stop signal that arrives before the process serves requests."""
     sys.exit(0)
 
 
@@ -72,7 +72,7 @@
 
             anyio.run(run_agent, settings, SystemClock(), backend_options=options)
         case _:
-            raise CommandError(Code.USAGE, "name a role: entry or agent")
+            raise CommandError(Code.USAGE, "expected one role: entry or agent")
 
 
 if __name__ == "__main__":
--- a/carawayhub/platform/agent.py
+++ b/carawayhub/platform/agent.py
@@ -21,7 +21,7 @@
 
 
 async def run_agent(settings: NodeSettings, clock: Clock) -> None:
-    """Run an agent until it is told to stop.
+    """Run an agent until a stop signal arrives.
 
     Raises:
         CommandError: SETTINGS_INVALID, PORT_IN_USE.
@@ -46,7 +46,7 @@
             async for each in signals:
                 if each is not signal.SIGHUP:
                     break
-                logger.info("settings changed; they hold from the next start")
+                logger.info("settings changed; the agent applies them after a restart")
         tasks.cancel_scope.cancel()
     logger.info("agent stops")
 
@@ -70,8 +70,8 @@
     async def replicas(self, group: str) -> Sequence[tuple[str, Address]]:
         """Return the instance id and address of each replica that may belong to a group.
 
-        One whose entry names another group is left out: asked for their reports, the replicas of
-        all groups of a large service would fill the link of this VM.
+        Replicas whose entry has another group are left out: the reports of the replicas of all
+        groups of a large service would saturate the link of this VM.
         """
         published = await self._read()
         listed = [
--- a/carawayhub/platform/answers.py
+++ b/carawayhub/platform/answers.py
@@ -1,4 +1,4 @@
-"""JSON answers of what the system reads: the platform's services and endpoints."""
+"""Decodes JSON answers of the platform's services and of endpoints."""
 
 from typing import Any
 
@@ -8,14 +8,14 @@
 from carawayhub.errors import PlatformError
 
 UNREADABLE = (msgspec.MsgspecError, ValueError, RecursionError)
-"""What decoding raises for bytes that are not what was expected; the last one for deep nesting."""
+"""Exceptions that decoding raises for malformed bytes; RecursionError for deep nesting."""
 
 
 def decode_answer(body: bytes, kind: Any) -> Any:
-    """Return the ``kind`` in a JSON answer.
+    """Decode a JSON answer to the type ``kind``.
 
     Raises:
-        PlatformError: PLATFORM_MALFORMED where it cannot be read.
+        PlatformError: PLATFORM_MALFORMED if it cannot be decoded.
     """
     try:
         return msgspec.json.decode(body, type=kind)
--- a/carawayhub/platform/changes.py
+++ b/carawayhub/platform/changes.py
@@ -1,4 +1,4 @@
-"""What is written to the store, decoded into changes of the published state."""
+"""Decodes events of the store into changes of the published state."""
 
 from collections.abc import Sequence
 
@@ -22,10 +22,10 @@
 
     Attributes:
         key: The key.
-        rev: Revision at which it happened.
-        created_rev: Revision at which the key was written first.
+        rev: Revision of this write or removal.
+        created_rev: Revision at which the key was first written.
         deleted: Whether the key was removed.
-        content: What was written.
+        content: The written value.
     """
 
     key: str
@@ -35,13 +35,15 @@
     content: bytes = b""
 
 
-def published(revision: int, events: Sequence[Event], unreadable: Sequence[str] = ()) -> Published:
-    """Return what events say, oldest first, and what is known with them.
+def decode_published(
+    revision: int, events: Sequence[Event], unreadable: Sequence[str] = ()
+) -> Published:
+    """Decode events into changes of the published state.
 
     Args:
-        revision: Everything up to it is known.
-        events: The events.
-        unreadable: What else could not be read.
+        revision: Revision up to which all changes are known.
+        events: The events, oldest first.
+        unreadable: Descriptions of other content that could not be decoded.
     """
     changes: list[Change] = []
     problems = list(unreadable)
@@ -57,7 +59,7 @@
 
 
 def _change(event: Event) -> Change | None:
-    """Return what an event says, None where it concerns nothing that is known here."""
+    """Decode an event; None if its key is neither an endpoint nor the configuration."""
     if event.key.startswith(ENDPOINT_PREFIX):
         return _endpoint_change(event)
     if event.key == CONFIG_KEY and not event.deleted:
--- a/carawayhub/platform/client.py
+++ b/carawayhub/platform/client.py
@@ -1,4 +1,4 @@
-"""The platform's services over HTTP."""
+"""HTTP client of the platform's services."""
 
 import hashlib
 
@@ -11,20 +11,20 @@
 from carawayhub.platform.ports import PublishedManifest, VmList
 
 OK_STATUS = 200
-ANSWER_MARGIN = 3.0
+ANSWER_MARGIN_SECONDS = 3.0
 MAX_VALUE_BYTES = 1_048_576
 
 
 class PlatformClient:
     """Reads configuration and VM list from the platform's HTTP address.
 
-    Each read stands under its own deadline, a watch under its wait plus a margin: a watch whose
-    connection went silent would otherwise wait for ever and miss every change. A connection that
-    saw such a timeout is closed by ``httpcore`` and the next read opens a new one.
+    Each read has its own deadline, a watch its wait plus a margin: a watch whose connection stopped
+    delivering data would otherwise block forever and miss every change. After such a timeout
+    ``httpcore`` closes the connection and the next read opens a new one.
 
     Args:
-        url: Base of the address, for example ``http://10.0.0.9:7000``.
-        source: IP number to connect from, empty for any.
+        url: Base URL, for example ``http://10.0.0.9:7000``.
+        source: Local IP address to connect from, empty for any.
     """
 
     __slots__ = ("_pool", "_url")
@@ -58,7 +58,7 @@
 
     async def _get(self, path: str, wait: float) -> bytes:
         try:
-            with anyio.fail_after(wait + ANSWER_MARGIN):
+            with anyio.fail_after(wait + ANSWER_MARGIN_SECONDS):
                 response = await self._pool.request("GET", self._url + path)
         except (httpcore.NetworkError, httpcore.ProtocolError, OSError, TimeoutError) as exc:
             raise PlatformError(Code.PLATFORM_UNREACHABLE, f"{path}: {exc!r}") from exc
--- a/carawayhub/platform/entry.py
+++ b/carawayhub/platform/entry.py
@@ -22,13 +22,13 @@
     rng: random.Random,
     read_settings: Callable[[], NodeSettings],
 ) -> None:
-    """Run an entry until it was told to stop and its last request has ended.
+    """Run an entry until a stop signal arrives and its last request has ended.
 
     Args:
-        settings: Its settings.
+        settings: Settings of the entry.
         clock: Source of time.
-        rng: Source of chance.
-        read_settings: Reads the settings as they are now.
+        rng: Random number generator.
+        read_settings: Reads the current settings.
 
     Raises:
         CommandError: SETTINGS_INVALID, PORT_IN_USE.
--- a/carawayhub/platform/headers.py
+++ b/carawayhub/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers as the platform spells them."""
+"""Maps requests and answers to the headers of the platform."""
 
 import re
 from typing import Any
@@ -27,30 +27,32 @@
 LIMIT = b"server-limit"
 AUTHORIZATION = b"authorization"
 BEARER = "bearer "
-MS = 1000.0
-LEAST_DEADLINE_MS = 1
+MS_PER_SECOND = 1000.0
+MIN_DEADLINE_MS = 1
 MISDIRECTED_STATUS = 421
 LEAST_URGENT = 9
 
-_SET_HERE = frozenset({DEADLINE, EXPECT_INSTANCE, ORGANISATION, URGENCY, LAST_EVENT_ID})
-"""Headers that only the fleet may set; what a caller sends under these names is dropped."""
+_FLEET_ONLY_HEADERS = frozenset({DEADLINE, EXPECT_INSTANCE, ORGANISATION, URGENCY, LAST_EVENT_ID})
+"""Headers that only the fleet may set; values sent by a caller are dropped."""
 
-_NOT_FORWARDED = HOP_BY_HOP_HEADERS | _SET_HERE | {b"content-length", b"expect", AUTHORIZATION}
+_NOT_FORWARDED = (
+    HOP_BY_HOP_HEADERS | _FLEET_ONLY_HEADERS | {b"content-length", b"expect", AUTHORIZATION}
+)
 _NOT_RETURNED = HOP_BY_HOP_HEADERS | {b"proxy-connection", LIMIT}
-"""Callers cannot act on the limit of one replica: it holds for the requests of all of them."""
+"""Callers cannot act on the limit of one replica, since it covers the requests of all callers."""
 
 _DECIMAL = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
-SHOWN_BYTES = 40
-"""Bytes of an unreadable value that the log shows."""
+MAX_LOGGED_BYTES = 40
+"""Bytes of an unreadable value that are logged."""
 
 
 class PlatformWire:
-    """Spells requests and answers; see ``CallerWire``."""
+    """Decodes requests and answers, and encodes request headers; see ``CallerWire``."""
 
     __slots__ = ()
 
     def request(self, scope: dict[str, Any]) -> CallerRequest:
-        """Return the request in an ASGI scope, without its body."""
+        """Decode the request of an ASGI scope, without its body."""
         headers: Headers = scope["headers"]
         found = dict(headers)
         named = _connection_headers(headers)
@@ -69,15 +71,15 @@
                 if name not in _NOT_FORWARDED and name not in named
             ],
             key=_key(found.get(AUTHORIZATION, b"")),
-            waits=_waits(found.get(DEADLINE)),
+            waits=_wait_seconds(found.get(DEADLINE)),
             prompt_tokens=prompt,
             answer_tokens=answer,
             last_event_id=found.get(LAST_EVENT_ID, b""),
         )
 
     def dispatch(self, req: CallerRequest, dispatch: Dispatch) -> Headers:
-        """Return the headers with which a request goes to an endpoint."""
-        left = max(LEAST_DEADLINE_MS, int(dispatch.seconds * MS))
+        """Return the headers of a request to an endpoint."""
+        left = max(MIN_DEADLINE_MS, int(dispatch.seconds * MS_PER_SECOND))
         headers = [
             (b"host", req.host.encode("latin-1")),
             *req.headers,
@@ -115,17 +117,17 @@
 
 
 def _limit(values: list[bytes]) -> NamedLimit | UnreadableLimit | None:
-    """Return the limit that an answer names; of several the least that can be read."""
+    """Return the limit in an answer; of several values, the lowest that can be parsed."""
     if not values:
         return None
     found = [float(value) for value in values if _DECIMAL.fullmatch(value)]
     if not found:
-        return UnreadableLimit(values[0][:SHOWN_BYTES].decode("latin-1"))
+        return UnreadableLimit(values[0][:MAX_LOGGED_BYTES].decode("latin-1"))
     return NamedLimit(min(found))
 
 
 def _connection_headers(headers: Headers) -> frozenset[bytes]:
-    """Return the headers that the sender named as concerning its connection only."""
+    """Return the names of the hop-by-hop headers that ``Connection`` lists."""
     values = [value for name, value in headers if name.lower() == b"connection"]
     return frozenset(part.strip().lower() for value in values for part in value.split(b","))
 
@@ -140,11 +142,11 @@
         raise RequestError(Code.BODY_MALFORMED, "token counts are not two numbers") from exc
 
 
-def _waits(value: bytes | None) -> float | None:
+def _wait_seconds(value: bytes | None) -> float | None:
     if value is None:
         return None
     try:
-        waits = float(value) / MS
+        waits = float(value) / MS_PER_SECOND
     except ValueError as exc:
         raise RequestError(Code.DEADLINE_MALFORMED, repr(value)) from exc
     if not waits > 0:
--- a/carawayhub/platform/mirror.py
+++ b/carawayhub/platform/mirror.py
@@ -1,4 +1,4 @@
-"""What the store holds as last read here, as it was written, to be handed on to other entries."""
+"""Local copy of the store's encoded keys, which entries forward to each other."""
 
 from collections.abc import Iterable
 
@@ -9,28 +9,27 @@
 from carawayhub.gateway.ports import Handed
 from carawayhub.peers.questions import MAX_DATAGRAM
 from carawayhub.platform.answers import UNREADABLE
-from carawayhub.platform.changes import Event, published
+from carawayhub.platform.changes import Event, decode_published
 
-ANSWER_HEAD = 256
-"""Bytes that an answer takes beside its content, with room to spare."""
+ANSWER_OVERHEAD_BYTES = 256
+"""Upper bound for the bytes of an answer besides its content."""
 
-MOST_HANDED = MAX_DATAGRAM - ANSWER_HEAD
-"""Bytes of content that are handed on at once: what a datagram holds when it is unpacked. More
-would be sent, cut off by the receiver's bound and asked for in vain; such an entry reads the store.
-"""
+MAX_FORWARDED_BYTES = MAX_DATAGRAM - ANSWER_OVERHEAD_BYTES
+"""Largest content that is forwarded: what an unpacked datagram can hold. The receiver's size bound
+would cut off anything larger, so a peer that needs more than this reads the store instead."""
 
-REMOVALS_KEPT = 512
-"""Removed keys that are remembered: those of some minutes in which every endpoint is replaced. Who
-is further behind is told everything."""
+MAX_REMOVED_KEYS = 512
+"""Removed keys that are remembered: those of some minutes in which every endpoint is replaced. A
+peer that is further behind receives the complete content."""
 
 
 class _Content(msgspec.Struct, array_like=True):
-    """What one entry hands on to another.
+    """Store content that one entry forwards to another.
 
     Attributes:
-        revision: Everything up to it is known with this.
-        whole: Whether this is all that there is, and not what was written since.
-        events: What was written and removed, the last of each key.
+        revision: The receiver is up to date to this revision after applying the content.
+        whole: Whether this is the complete content instead of the changes since a revision.
+        events: The last write or removal of each key.
     """
 
     revision: int
@@ -41,52 +40,52 @@
 class StoreMirror:
     """Keeps the last event of each key; see ``gateway.ports.Mirror``.
 
-    What was told last is kept encoded: after a change all other entries ask for the same.
+    The last encoded content is cached, because after a change all other entries ask for the same.
 
     Attributes:
-        revision: Everything up to it is known.
+        revision: Revision up to which all changes are known.
     """
 
-    __slots__ = ("_known_from", "_removed", "_told", "_written", "revision")
+    __slots__ = ("_history_start", "_removed", "_encoded", "_written", "revision")
 
     def __init__(self) -> None:
         self._written: dict[str, Event] = {}
         self._removed: dict[str, Event] = {}
-        self._told: tuple[tuple[int, int], bytes] | None = None
-        self._known_from = 0
+        self._encoded: tuple[tuple[int, int], bytes] | None = None
+        self._history_start = 0
         self.revision = 0
 
     def replace(self, revision: int, events: Iterable[Event]) -> None:
-        """Take in a listing of all keys, unless more is known since it was asked for."""
+        """Replace the content by a listing of all keys, unless a newer revision is known."""
         if revision < self.revision:
             return
         self._written = {each.key: each for each in events}
         self._removed = {}
-        self._known_from = self.revision = revision
+        self._history_start = self.revision = revision
 
     def extend(self, revision: int, events: Iterable[Event]) -> None:
-        """Take in what followed."""
+        """Apply the events up to a newer revision."""
         for event in events:
             if event.rev >= self._last_revision(event.key):
                 self._keep(event)
-        while len(self._removed) > REMOVALS_KEPT:
+        while len(self._removed) > MAX_REMOVED_KEYS:
             oldest = min(self._removed.values(), key=lambda each: each.rev)
             del self._removed[oldest.key]
-            self._known_from = max(self._known_from, oldest.rev)
+            self._history_start = max(self._history_start, oldest.rev)
         self.revision = max(self.revision, revision)
 
     def told_after(self, revision: int) -> bytes | None:
-        """Return what is known beyond a revision; see ``gateway.ports.Mirror``."""
+        """Return the encoded changes after a revision; see ``gateway.ports.Mirror``."""
         if self.revision <= revision:
             return None
-        asked = (revision, self.revision)
-        if self._told is None or self._told[0] != asked:
-            self._told = asked, self._encoded_after(revision)
-        data = self._told[1]
-        return data if len(data) <= MOST_HANDED else None
+        revisions = (revision, self.revision)
+        if self._encoded is None or self._encoded[0] != revisions:
+            self._encoded = revisions, self._encoded_after(revision)
+        data = self._encoded[1]
+        return data if len(data) <= MAX_FORWARDED_BYTES else None
 
     def take(self, data: bytes) -> Handed | None:
-        """Take in what a peer handed on; see ``gateway.ports.Mirror``."""
+        """Apply content that a peer forwarded; see ``gateway.ports.Mirror``."""
         try:
             content = msgspec.msgpack.decode(data, type=_Content)
         except UNREADABLE as exc:
@@ -97,10 +96,10 @@
             self.replace(content.revision, content.events)
         else:
             self.extend(content.revision, content.events)
-        return Handed(published(content.revision, content.events), content.whole)
+        return Handed(decode_published(content.revision, content.events), content.whole)
 
     def _encoded_after(self, revision: int) -> bytes:
-        whole = revision < self._known_from
+        whole = revision < self._history_start
         known = list(self._written.values())
         if not whole:
             known = [*known, *self._removed.values()]
--- a/carawayhub/platform/ports.py
+++ b/carawayhub/platform/ports.py
@@ -1,4 +1,4 @@
-"""What the system reads of the users' platform; nothing is ever written to it."""
+"""Interfaces to the users' platform; the system only reads from it."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -6,7 +6,7 @@
 
 
 class VmState(Enum):
-    """What the platform's list says of a VM."""
+    """State of a VM in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PublishedManifest:
-    """One published version: which files it has.
+    """Manifest of one published version.
 
     Attributes:
-        version: Its number.
+        version: Number of the version.
         files: SHA-256 in lower-case hex of each file, by name.
     """
 
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ListedVm:
-    """One VM of the platform's list."""
+    """One VM in the platform's list."""
 
     name: str
     state: VmState
@@ -36,11 +36,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class VmList:
-    """The platform's list of VMs, which lags behind the truth.
+    """The platform's list of VMs, which lags behind their actual state.
 
     Attributes:
-        number: Number of this list; a later list has a greater one.
-        vms: Its VMs.
+        number: Number of this list; a later list has a higher one.
+        vms: The listed VMs.
     """
 
     number: int
@@ -54,15 +54,15 @@
         """Return the published version, at once or when one above ``after`` is published.
 
         Args:
-            after: Version the caller has; 0 for none.
+            after: Version that the caller has; 0 for none.
             wait: Seconds to wait for a newer one; 0 to answer at once.
 
         Raises:
-            PlatformError: The service did not answer, or not with what can be read.
+            PlatformError: The service did not answer, or its answer cannot be decoded.
         """
 
     async def file(self, digest: str) -> bytes:
-        """Return the content of the file with this SHA-256, checked.
+        """Return the content of the file with this SHA-256, after checking the digest.
 
         Raises:
             PlatformError: As above, or CONFIG_DIGEST_MISMATCH.
@@ -76,5 +76,5 @@
         """Return the list, at once or when one numbered above ``after`` is published.
 
         Raises:
-            PlatformError: The service did not answer, or not with what can be read.
+            PlatformError: The service did not answer, or its answer cannot be decoded.
         """
--- a/carawayhub/platform/probes.py
+++ b/carawayhub/platform/probes.py
@@ -1,4 +1,4 @@
-"""The calls by which the platform and callers ask an entry about itself."""
+"""Readiness, directory and metrics endpoints of a process."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -15,13 +15,13 @@
 
 METRICS_PORT = 9464
 METRICS_PATH = "/metrics"
-"""Where processes answer with their metrics; ``deploy/system.toml`` names both to the platform."""
+"""Port and path of the metrics; ``deploy/system.toml`` announces both to the platform."""
 
 Application = Callable[[dict[str, Any], Receive, Send], Awaitable[None]]
 
 
 class _EntryList(msgspec.Struct, rename={"addresses": "Addrs", "keep_seconds": "TtlS"}):
-    """Entries that a caller may use, and for how many seconds it may keep the answer."""
+    """Entries that a caller may use, and for how many seconds it may cache the answer."""
 
     addresses: list[str]
     keep_seconds: float
@@ -30,12 +30,12 @@
 def probe_app(
     ready: Callable[[], bool], addresses: Callable[[], list[str]], metrics: Callable[[], str]
 ) -> Application:
-    """Return the application that answers readiness, directory and metrics.
+    """Return the ASGI application that serves readiness, directory and metrics.
 
     Args:
-        ready: Whether this entry takes callers.
-        addresses: Addresses of entries that take callers.
-        metrics: The metrics as text.
+        ready: Returns whether this entry accepts callers.
+        addresses: Returns the addresses of entries that accept callers.
+        metrics: Returns the metrics as text.
     """
 
     async def app(scope: dict[str, Any], receive: Receive, send: Send) -> None:
@@ -55,10 +55,10 @@
 
 
 def metrics_app(metrics: Callable[[], str]) -> Application:
-    """Return the application that answers with metrics alone.
+    """Return the ASGI application that serves only metrics.
 
     Args:
-        metrics: The metrics as text.
+        metrics: Returns the metrics as text.
     """
 
     async def app(scope: dict[str, Any], receive: Receive, send: Send) -> None:
--- a/carawayhub/platform/published.py
+++ b/carawayhub/platform/published.py
@@ -1,4 +1,4 @@
-"""The configuration in the platform's store, decoded into the gateway's types."""
+"""Decodes the configuration in the platform's store into the gateway's types."""
 
 import msgspec
 
@@ -18,9 +18,9 @@
 from carawayhub.platform.answers import UNREADABLE
 
 CONFIG_KEY = "op/config"
-MS = 1000.0
+MS_PER_SECOND = 1000.0
 MEGA = 1e6
-BITS = 8
+BITS_PER_BYTE = 8
 
 _REPEATS = {
     "idempotent": Repeat.IDEMPOTENT,
@@ -153,10 +153,10 @@
 
 
 def decode_route_table(value: bytes) -> RouteTable:
-    """Return the configuration that the operators published.
+    """Decode the configuration that the operators published.
 
     Raises:
-        PlatformError: PLATFORM_MALFORMED with the field that cannot be read.
+        PlatformError: PLATFORM_MALFORMED with the field that cannot be decoded.
     """
     try:
         wire = msgspec.json.decode(value, type=_Config)
@@ -178,15 +178,15 @@
     shares = tuple(Share(each.service, each.weight) for each in wire.split)
     kind = _REPEATS.get(wire.kind)
     if kind is None:
-        raise ValueError(f"route {wire.name}: kind {wire.kind!r} is not known")
+        raise ValueError(f"route {wire.name}: unknown kind {wire.kind!r}")
     return Route(
         name=wire.name,
         host=wire.host.lower(),
         prefix=wire.prefix,
         repeat=kind,
-        timeout=wire.timeout_ms / MS,
-        target=wire.target_ms / MS,
-        gap=wire.gap_ms / MS,
+        timeout=wire.timeout_ms / MS_PER_SECOND,
+        target=wire.target_ms / MS_PER_SECOND,
+        gap=wire.gap_ms / MS_PER_SECOND,
         attempts=max(1, wire.attempts),
         priority=wire.priority,
         public=wire.public,
@@ -208,8 +208,8 @@
     return EngineProfile(
         places=wire.slots,
         kv_tokens=wire.kv_tokens,
-        step=wire.step_ms / MS,
-        step_per_request=wire.per_seq_ms / MS,
+        step=wire.step_ms / MS_PER_SECOND,
+        step_per_request=wire.per_seq_ms / MS_PER_SECOND,
         read_rate=wire.read_per_s,
         chunk=wire.chunk,
         stride=wire.stride,
@@ -229,7 +229,7 @@
         spare=wire.spare,
         share=wire.expert_share,
         expert_bytes=wire.expert_mb * MEGA,
-        link_rate=wire.link_mbit * MEGA / BITS,
+        link_rate=wire.link_mbit * MEGA / BITS_PER_BYTE,
     )
 
 
@@ -237,8 +237,8 @@
     return CallerLimits(
         head_bytes=wire.head_bytes,
         body_bytes=wire.body_bytes,
-        head_timeout=wire.head_ms / MS,
-        idle_timeout=wire.idle_ms / MS,
+        head_timeout=wire.head_ms / MS_PER_SECOND,
+        idle_timeout=wire.idle_ms / MS_PER_SECOND,
     )
 
 
--- a/carawayhub/platform/ranks.py
+++ b/carawayhub/platform/ranks.py
@@ -1,4 +1,4 @@
-"""Calls to a replica that is a rank of a lock-step group."""
+"""HTTP client of a replica that is a rank of a lock-step group."""
 
 from typing import Any
 
@@ -24,12 +24,12 @@
 )
 from carawayhub.platform.answers import UNREADABLE
 
-READ_SECONDS = 0.5
-"""Seconds in which a live replica answers a read; it takes some milliseconds."""
+READ_TIMEOUT_SECONDS = 0.5
+"""Time limit of a read; a live replica answers within some milliseconds."""
 
-ORDER_SECONDS = 0.1
-"""Seconds in which a replica accepts an order, which takes some milliseconds. The answer may be
-lost; the rank's report shows then whether the order was accepted."""
+ORDER_TIMEOUT_SECONDS = 0.1
+"""Time limit of an order; a replica accepts one within some milliseconds. If the answer is lost,
+the rank's report shows whether the order was accepted."""
 
 EXPECT_INSTANCE = "carawayhub-expect-instance"
 OK_STATUS = 200
@@ -53,9 +53,10 @@
         "armed": "Armed",
     },
 ):
-    """A report; ``held`` and ``step`` name passes, ``size`` the ranks of the group.
+    """Report of a rank.
 
-    ``born`` is the Unix millisecond at which the replica started.
+    ``held`` and ``step`` are numbers of passes, ``size`` is the number of ranks in the group, and
+    ``born`` is the Unix time in milliseconds at which the replica started.
     """
 
     group: _Group
@@ -71,7 +72,7 @@
 
 
 class _Counts(msgspec.Struct, frozen=True, rename={"counts": "Counts"}):
-    """Counters; layer set by layer set in one row."""
+    """Counters of all layer sets, concatenated in order."""
 
     step: int
     epoch: int
@@ -85,12 +86,12 @@
 
 
 class RankClient:
-    """One replica.
+    """Client of one replica.
 
     Args:
-        address: Where it listens.
-        instance: Id that it must have, empty where any will do.
-        source: IP number to connect from.
+        address: Address of the replica.
+        instance: Instance id that the replica must have, empty for any.
+        source: Local IP address to connect from.
     """
 
     __slots__ = ("_headers", "_pool", "_url", "address")
@@ -107,7 +108,7 @@
         )
 
     async def report(self) -> RankReport:
-        """Return what the rank says of itself; see ``Rank``."""
+        """Return the report of the rank; see ``Rank``."""
         wire = await self._read("/v1/report", _Report)
         try:
             return _report(wire)
@@ -127,7 +128,7 @@
         )
 
     async def held_experts(self) -> HeldExperts:
-        """Return the experts of the rank; see ``Rank``."""
+        """Return the experts that the rank holds; see ``Rank``."""
         wire = await self._read("/v1/picked?Lists=1", _Lists)
         try:
             experts = tuple(tuple(layer) for layer in wire.map["Experts"])
@@ -136,11 +137,11 @@
             raise GroupError(Code.RANK_MALFORMED, f"{self.address}: {wire.map!r}") from exc
 
     async def order(self, order: RankOrder, epoch: int, fence: int) -> OrderAnswer:
-        """Give an order; see ``Rank``."""
+        """Send an order; see ``Rank``."""
         body = msgspec.json.encode(_order(order) | {"epoch": epoch, "Fence": fence})
         headers = [*self._headers, ("content-type", "application/json")]
         try:
-            with anyio.fail_after(ORDER_SECONDS):
+            with anyio.fail_after(ORDER_TIMEOUT_SECONDS):
                 response = await self._pool.request(
                     "POST", f"{self._url}/v1/order", headers=headers, content=body
                 )
@@ -160,7 +161,7 @@
 
     async def _read(self, path: str, kind: type[Any]) -> Any:
         try:
-            with anyio.fail_after(READ_SECONDS):
+            with anyio.fail_after(READ_TIMEOUT_SECONDS):
                 response = await self._pool.request("GET", self._url + path, headers=self._headers)
         except (httpcore.NetworkError, httpcore.ProtocolError, OSError, TimeoutError) as exc:
             raise GroupError(Code.RANK_UNREACHABLE, f"{self.address}: {exc!r}") from exc
@@ -208,7 +209,7 @@
 
 
 def _version(value: Any) -> int:
-    """Return the version that a field names, as a number or within an object; 0 for none."""
+    """Return a version given as a number or as an object with a ``Version``; 0 for none."""
     if isinstance(value, dict):
         value = value.get("Version")
     return _number(value)
@@ -220,13 +221,13 @@
 
 
 def _number(value: Any) -> int:
-    """Return a whole number, 0 for none.
+    """Return an integer, 0 for none.
 
     Raises:
-        ValueError: It is neither.
+        ValueError: The value is neither an integer nor None.
     """
     if value is None:
         return 0
     if type(value) is not int:
-        raise ValueError(f"{value!r} is no whole number")
+        raise ValueError(f"{value!r} is not an integer")
     return value
--- a/carawayhub/platform/registrations.py
+++ b/carawayhub/platform/registrations.py
@@ -1,7 +1,7 @@
-"""Entries of endpoints in the platform's store, decoded into the gateway's types.
+"""Decodes the entries of endpoints in the platform's store into the gateway's types.
 
-Other writers share the store, so an entry is believed only where it is whole: every field that an
-endpoint writes is there, has its type and a value that is known.
+Other programs write to the same store, so an entry is accepted only if it is complete: every field
+that an endpoint writes must be present, with the right type and a known value.
 """
 
 import json
@@ -20,9 +20,9 @@
 
 ENDPOINT_PREFIX = "servers/"
 
-MOST_PLACES = 65_536
-"""Requests that one endpoint may say it runs at once: more than any engine has, and few enough that
-an entry of another writer cannot draw all requests to itself."""
+MAX_SLOTS = 65_536
+"""Most concurrent requests that an endpoint may announce: more than any engine has, and few enough
+that an entry of another program cannot attract all requests."""
 
 _STATES = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING}
 _FORMED = {"open": True, "broken": False}
@@ -53,13 +53,13 @@
         "number": "Seq",
     },
 ):
-    """An entry; ``born`` is the Unix millisecond at which the endpoint started."""
+    """Entry of an endpoint; ``born`` is its start as Unix time in milliseconds."""
 
     service: Text
     address: str
     zone: Text
     software: str
-    slots: Annotated[int, msgspec.Meta(ge=1, le=MOST_PLACES)]
+    slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
     state: str
     cold_left_ms: Annotated[float, msgspec.Meta(ge=0)]
     number: Count
@@ -69,27 +69,27 @@
 
 
 def decode_endpoint(key: str, value: bytes, registered: int = 0) -> Endpoint:
-    """Return the endpoint that registered itself under ``key`` at a revision.
+    """Decode the endpoint that registered itself under ``key`` at a revision.
 
     Raises:
-        PlatformError: PLATFORM_MALFORMED with the field that cannot be read.
+        PlatformError: PLATFORM_MALFORMED with the field that cannot be decoded.
     """
     try:
-        _refuse_repeated_fields(value)
+        _reject_repeated_fields(value)
         return _endpoint(replica_of(key), msgspec.json.decode(value, type=_Beat), registered)
     except UNREADABLE as exc:
         raise PlatformError(Code.PLATFORM_MALFORMED, f"{key}: {exc}") from exc
 
 
 def replica_of(key: str) -> str:
-    """Return the id of the replica whose entry stands under ``key``.
+    """Return the id of the replica whose entry is stored under ``key``.
 
     Raises:
-        ValueError: No replica has such an id; it could not be named in a header either.
+        ValueError: The key has no valid replica id; such an id could not be sent in a header.
     """
     replica = key.removeprefix(ENDPOINT_PREFIX)
     if not _REPLICA.fullmatch(replica):
-        raise ValueError("the key names no replica")
+        raise ValueError("the key has no valid replica id")
     return replica
 
 
@@ -102,7 +102,7 @@
         address=_address(beat.address),
         failure_domain=beat.zone,
         places=beat.slots,
-        state=_known("State", beat.state, _STATES),
+        state=_lookup("State", beat.state, _STATES),
         seat=_seat(beat.group, beat.size),
         registered=registered,
     )
@@ -111,13 +111,13 @@
 def _seat(group: _Group | None, size: int) -> GroupSeat | None:
     if group is None:
         return None
-    formed = _known("State", group.state, _FORMED)
+    formed = _lookup("State", group.state, _FORMED)
     return GroupSeat(group.name, group.epoch, group.rank, formed, size)
 
 
-def _known(field: str, text: str, values: dict[str, Any]) -> Any:
+def _lookup(field: str, text: str, values: dict[str, Any]) -> Any:
     if text not in values:
-        raise ValueError(f"{field} is {text!r}, which is not known")
+        raise ValueError(f"{field} has the unknown value {text!r}")
     return values[text]
 
 
@@ -125,21 +125,21 @@
     address = Address.parse(text)
     IPv4Address(address.host)
     if not address.port:
-        raise ValueError(f"{text!r} names no port")
+        raise ValueError(f"{text!r} has no port")
     return address
 
 
-def _refuse_repeated_fields(value: bytes) -> None:
-    """Raise where an object names a field twice: which of the two its writer meant is unknown."""
-    json.loads(value, object_pairs_hook=_distinct, parse_constant=_refuse_constant)
+def _reject_repeated_fields(value: bytes) -> None:
+    """Raise if an object repeats a field, since it is unknown which value its writer meant."""
+    json.loads(value, object_pairs_hook=_unique_fields, parse_constant=_reject_constant)
 
 
-def _distinct(pairs: Sequence[tuple[str, Any]]) -> dict[str, Any]:
+def _unique_fields(pairs: Sequence[tuple[str, Any]]) -> dict[str, Any]:
     found = dict(pairs)
     if len(found) != len(pairs):
-        raise ValueError("a field is named twice")
+        raise ValueError("a field is repeated")
     return found
 
 
-def _refuse_constant(text: str) -> None:
-    raise ValueError(f"{text} is no JSON")
+def _reject_constant(text: str) -> None:
+    raise ValueError(f"{text} is not valid JSON")
--- a/carawayhub/platform/settings.py
+++ b/carawayhub/platform/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process as the platform writes them, decoded once."""
+"""Decodes the settings file that the platform writes for a process."""
 
 import tomllib
 from dataclasses import dataclass
@@ -14,21 +14,21 @@
 SETTINGS_VARIABLE = "CARAWAYHUB_BOOT"
 """Environment variable that holds the path of the settings file."""
 
-MS = 1000.0
-BYTES_OF_MEGABIT = 125_000.0
+MS_PER_SECOND = 1000.0
+BYTES_PER_MEGABIT = 125_000.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class PromiseBounds:
-    """Bounds of the fleet's promises, in seconds unless said otherwise.
+class GuaranteeBounds:
+    """Bounds that the fleet guarantees; times are in seconds.
 
     Attributes:
-        revoke_after: A key that was taken away opens nothing any more after this.
-        drain: An endpoint that is leaving gets nothing new after this.
-        grace: From the stop signal to the end of the process.
-        config_apply: A configuration is in force after this.
-        retry_ratio: Repeated sends for each request of a service.
-        retry_extra: Repeated sends of a service beyond that, in one window, over all VMs.
+        revoke_after: Time until a revoked key is rejected everywhere.
+        drain: Time until a leaving endpoint receives no new requests.
+        grace: Time from the stop signal to the end of the process.
+        config_apply: Time until a published configuration is in force.
+        retry_ratio: Retries per request of a service.
+        retry_extra: Additional retries of a service in one window, over all VMs.
         retry_window: Length of that window.
     """
 
@@ -47,20 +47,20 @@
 
     Attributes:
         name: Name of its VM.
-        ip: IP number of the VM.
-        failure_domain: Where it stands.
-        region: The region of that failure domain.
-        peer_ports: First and last port that are free for links between processes.
+        ip: IP address of the VM.
+        failure_domain: Failure domain of the VM.
+        region: Region of the failure domain.
+        peer_ports: First and last port available for links between processes.
         seeds: Addresses of entries that may be alive.
-        callers: Where callers' requests arrive, None where the process takes none.
-        readiness: Where the platform asks whether the entry is ready.
-        directory: Where callers ask which entries to use.
+        callers: Address for callers' requests, None if the process accepts none.
+        readiness: Address of the readiness check.
+        directory: Address at which callers look up the entries to use.
         store: Address of the platform's store.
         endpoint: The replica on the same VM, None for an entry.
         service: The service of that replica.
         heartbeat: Seconds between two heartbeats of an endpoint in the store.
-        link_rate: Bytes a second that the link of the VM carries, 0 where that is not said.
-        bounds: Bounds of the promises.
+        link_rate: Bytes per second that the link of the VM carries, 0 if unknown.
+        bounds: Bounds that the fleet guarantees.
     """
 
     name: str
@@ -77,7 +77,7 @@
     service: str
     heartbeat: float
     link_rate: float
-    bounds: PromiseBounds
+    bounds: GuaranteeBounds
 
 
 class _Listen(
@@ -154,7 +154,7 @@
 
 
 def load_node_settings(path: Path) -> NodeSettings:
-    """Return the settings in a file.
+    """Load the settings from a file.
 
     Raises:
         CommandError: SETTINGS_INVALID with the file and the field.
@@ -167,7 +167,7 @@
 
 
 def parse_node_settings(content: str, name: str) -> NodeSettings:
-    """Return the settings in the text of a file called ``name``; unknown fields are ignored.
+    """Decode the text of the settings file ``name``; unknown fields are ignored.
 
     Raises:
         CommandError: SETTINGS_INVALID with the file and the field.
@@ -195,13 +195,13 @@
         store=Address.parse(wire.platform.address),
         endpoint=_address(wire.app),
         service=wire.service,
-        heartbeat=wire.beat_ms / MS,
-        link_rate=wire.limits.link_mbps * BYTES_OF_MEGABIT,
-        bounds=PromiseBounds(
-            revoke_after=bounds.revoke_ms / MS,
-            drain=bounds.drain_ms / MS,
+        heartbeat=wire.beat_ms / MS_PER_SECOND,
+        link_rate=wire.limits.link_mbps * BYTES_PER_MEGABIT,
+        bounds=GuaranteeBounds(
+            revoke_after=bounds.revoke_ms / MS_PER_SECOND,
+            drain=bounds.drain_ms / MS_PER_SECOND,
             grace=bounds.grace_s,
-            config_apply=bounds.config_ms / MS,
+            config_apply=bounds.config_ms / MS_PER_SECOND,
             retry_ratio=bounds.budget_ratio,
             retry_extra=bounds.budget_extra,
             retry_window=bounds.budget_window_s,
--- a/carawayhub/platform/standin_ranks.py
+++ b/carawayhub/platform/standin_ranks.py
@@ -1,4 +1,4 @@
-"""A stand-in of a replica that is a rank of a lock-step group, for runs of the real agents."""
+"""Simulated replica that is a rank of a lock-step group, for tests with the real agents."""
 
 from typing import Any
 from urllib.parse import parse_qs
@@ -21,14 +21,14 @@
 )
 from carawayhub.gateway.model import EngineProfile
 
-OK, ACCEPTED, BAD, CONFLICT, GONE_SILENT = 200, 202, 400, 409, 504
+OK, ACCEPTED, BAD, CONFLICT, GATEWAY_TIMEOUT = 200, 202, 400, 409, 504
 
 
 class StandinRank:
-    """Answers an agent as the replica beside it would.
+    """ASGI application that answers an agent like the replica on its VM.
 
     Args:
-        rank: What it does.
+        rank: Simulated rank that the calls act on.
     """
 
     def __init__(self, rank: Rank) -> None:
@@ -45,7 +45,7 @@
         try:
             status, answer = await self._answer(scope, body)
         except GroupError as exc:
-            status, answer = GONE_SILENT, {"Error": str(exc)}
+            status, answer = GATEWAY_TIMEOUT, {"Error": str(exc)}
         data = msgspec.json.encode(answer)
         headers = [(b"content-type", JSON_TYPE), (b"content-length", str(len(data)).encode())]
         await send({"type": "http.response.start", "status": status, "headers": headers})
@@ -62,11 +62,11 @@
                 counts = await self._rank.counts()
                 return OK, {"step": counts.step, "epoch": counts.epoch, "Counts": counts.counts}
             case "/v1/order":
-                return await self._take(msgspec.json.decode(body))
+                return await self._apply_order(msgspec.json.decode(body))
             case _:
                 return BAD, {}
 
-    async def _take(self, wire: dict[str, Any]) -> tuple[int, Any]:
+    async def _apply_order(self, wire: dict[str, Any]) -> tuple[int, Any]:
         order = _order(wire)
         if order is None:
             return BAD, {}
@@ -77,11 +77,11 @@
             case OrderAnswer.REFUSED:
                 return CONFLICT, {}
             case OrderAnswer.UNKNOWN:
-                return GONE_SILENT, {}
+                return GATEWAY_TIMEOUT, {}
 
 
 def engine(profile: EngineProfile) -> dict[str, Any]:
-    """Return the engine of a service as a configuration names it."""
+    """Return the engine of a service in the format of the configuration."""
     shape = profile.experts
     assert shape is not None
     return {
@@ -98,7 +98,7 @@
 
 
 def agent_settings(ip: str, replica: str, service: str, store: str) -> str:
-    """Return the settings file of an agent on a loopback address."""
+    """Return the text of a settings file for an agent on a loopback address."""
     return f"""
 Node = "agent-{ip}"
 Ip = "{ip}"
--- a/carawayhub/platform/standins.py
+++ b/carawayhub/platform/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform's store and of replicas, for runs of the real programs."""
+"""Simulated platform store and replicas, for tests with the real programs."""
 
 import base64
 from collections import Counter, deque
@@ -22,43 +22,43 @@
     SEAL,
 )
 
-HISTORY = 200
-"""Changes that the store remembers."""
+MAX_HISTORY_EVENTS = 200
+"""Most changes that the store keeps for watches."""
 
-EVENTS = 8
-"""Events of each stream."""
+EVENTS_PER_STREAM = 8
+"""Number of events in each stream."""
 
 EVENT_SECONDS = 0.04
 PLAIN_SECONDS = 0.02
 
 
 class StandinStore:
-    """A store that serves listings and watches, and can be down or deaf.
+    """A store that serves listings and watches, and can be made unavailable.
 
     Attributes:
-        down: Whether every call is refused.
-        revision: Its newest revision.
+        down: Whether every call is rejected.
+        revision: The newest revision.
     """
 
     def __init__(self) -> None:
         self.down = False
         self.revision = 0
         self._items: dict[str, tuple[int, bytes]] = {}
-        self._history: deque[dict[str, Any]] = deque(maxlen=HISTORY)
+        self._history: deque[dict[str, Any]] = deque(maxlen=MAX_HISTORY_EVENTS)
         self._changed = anyio.Event()
 
     def put(self, key: str, value: object) -> None:
-        """Write a value; it is acknowledged when this returns."""
+        """Write a value; the write is acknowledged when this returns."""
         self.revision += 1
         content = msgspec.json.encode(value)
         self._items[key] = self.revision, content
-        self._tell(_item(key, self.revision, content))
+        self._publish(_item(key, self.revision, content))
 
     def remove(self, key: str) -> None:
         """Remove a key."""
         if self._items.pop(key, None) is not None:
             self.revision += 1
-            self._tell({"Key": key, "Rev": self.revision, "Deleted": True})
+            self._publish({"Key": key, "Rev": self.revision, "Deleted": True})
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         """Answer a call."""
@@ -88,21 +88,21 @@
         ]
         return {"Items": items, "HasMore": False, "CurrentRev": self.revision}
 
-    def _tell(self, event: dict[str, Any]) -> None:
+    def _publish(self, event: dict[str, Any]) -> None:
         self._history.append(event)
         self._changed.set()
         self._changed = anyio.Event()
 
 
 @dataclass(slots=True)
-class Ran:
-    """A run of a request at a replica.
+class RecordedRun:
+    """One execution of a request at a replica.
 
     Attributes:
         request: Id of the request.
         instance: Incarnation that ran it.
-        organisation: Organisation that the fleet named.
-        at: When it began.
+        organisation: Organisation that the fleet sent.
+        at: Monotonic time at which it began.
     """
 
     request: str
@@ -113,25 +113,25 @@
 
 @dataclass(slots=True)
 class StandinReplica:
-    """A replica that answers plain requests whole and others with a stream of events.
+    """A replica that answers plain requests with one body and others with a stream of events.
 
     Attributes:
-        instance: Its present incarnation.
-        places: Requests that it runs at once; it refuses more.
-        breaks: Streams that it still breaks off midway.
-        loses: Plain answers that it still loses after the run.
-        runs: What it ran, over all incarnations.
-        busy: Requests that it runs now.
-        missent: Requests for another incarnation that it refused.
+        instance: The current incarnation.
+        places: Concurrent requests; more are rejected.
+        breaks: Number of coming streams to cut off midway.
+        loses: Number of coming plain answers to drop after the request ran.
+        runs: Executed requests, over all incarnations.
+        busy: Number of requests running now.
+        misdirected: Rejected requests for another incarnation, counted by request id.
     """
 
     instance: str
     places: int = 6
     breaks: int = 0
     loses: int = 0
-    runs: list[Ran] = field(default_factory=list)
+    runs: list[RecordedRun] = field(default_factory=list)
     busy: int = 0
-    missent: Counter[str] = field(default_factory=Counter)
+    misdirected: Counter[str] = field(default_factory=Counter)
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         """Answer a request."""
@@ -140,7 +140,7 @@
         while (await receive()).get("more_body"):
             pass
         if headers.get(EXPECT_INSTANCE, b"").decode() != self.instance:
-            self.missent[request] += 1
+            self.misdirected[request] += 1
             await _answer(send, 421, {})
             return
         if self.busy >= self.places or DEADLINE not in headers:
@@ -148,7 +148,9 @@
             return
         self.busy += 1
         organisation = headers.get(ORGANISATION, b"").decode()
-        self.runs.append(Ran(request, self.instance, organisation, SystemClock().monotonic()))
+        self.runs.append(
+            RecordedRun(request, self.instance, organisation, SystemClock().monotonic())
+        )
         sealed = [(REQUEST_ID, request.encode()), (SEAL, self.instance.encode())]
         try:
             if "/stream/" in scope["path"]:
@@ -171,10 +173,10 @@
         first = int(headers.get(LAST_EVENT_ID, b"0")) + 1
         kind = [(b"content-type", STREAM_TYPE)]
         await send({"type": "http.response.start", "status": 200, "headers": sealed + kind})
-        for number in range(first, EVENTS + 1):
+        for number in range(first, EVENTS_PER_STREAM + 1):
             await anyio.sleep(EVENT_SECONDS)
             event = b"id: %d\ndata: line %d\n\n" % (number, number)
-            if self.breaks and number > EVENTS // 2:
+            if self.breaks and number > EVENTS_PER_STREAM // 2:
                 self.breaks -= 1
                 await send({"type": "http.response.body", "body": event[:7], "more_body": True})
                 return
@@ -183,7 +185,7 @@
 
 
 def registration(service: str, address: str, state: str = "ready") -> dict[str, Any]:
-    """Return what a replica writes of itself."""
+    """Return the entry that a replica writes to the store."""
     return {
         "Service": service,
         "Address": address,
@@ -200,9 +202,9 @@
     """Return a configuration.
 
     Args:
-        version: Its version.
+        version: Version of the configuration.
         keys: Keys of the only organisation.
-        routes: Kind and service by prefix.
+        routes: Kind and service of each route, by prefix.
     """
     return {
         "Version": version,
@@ -228,7 +230,7 @@
 
 
 def settings(ip: str, seeds: list[str], store: str, zone: str = "z1") -> str:
-    """Return the settings file of an entry on a loopback address."""
+    """Return the text of a settings file for an entry on a loopback address."""
     return f"""
 Node = "{ip}"
 Ip = "{ip}"
--- a/carawayhub/platform/store.py
+++ b/carawayhub/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP: the one client of it."""
+"""HTTP client of the platform's store."""
 
 import base64
 from collections.abc import Mapping, Sequence
@@ -15,22 +15,22 @@
 from carawayhub.errors import PlatformError
 from carawayhub.gateway.ports import Published
 from carawayhub.platform.answers import decode_answer
-from carawayhub.platform.changes import Event, published
+from carawayhub.platform.changes import Event, decode_published
 from carawayhub.platform.mirror import StoreMirror
 from carawayhub.platform.published import CONFIG_KEY
 from carawayhub.platform.registrations import ENDPOINT_PREFIX
 
 OK_STATUS = 200
 GONE_STATUS = 410
-ANSWER_MARGIN = 1.0
-"""Seconds beyond the wait of a call in which a live store answers; it does so in milliseconds."""
-MS = 1000
-PAST_THE_CONFIG = "op/~"
-"""A key behind the configuration's: a listing that begins there is empty and names the revision."""
+ANSWER_MARGIN_SECONDS = 1.0
+"""Time limit of a call beyond its wait; a live store answers within milliseconds."""
+MS_PER_SECOND = 1000
+KEY_AFTER_CONFIG = "op/~"
+"""A key that sorts after the configuration: a listing from it is empty but has the revision."""
 
 
 class _Item(msgspec.Struct, rename="pascal"):
-    """An item; ``created_rev`` is the revision at which its key was written first."""
+    """Item of a listing; ``created_rev`` is the revision at which its key was first written."""
 
     key: str
     value: str = ""
@@ -63,17 +63,17 @@
 class StoreClient:
     """Reads the store.
 
-    Each call opens a connection of its own and stands under a deadline of its own. A connection may
-    go silent for good while new ones work: one that was kept would hold up the call that takes it
-    until its deadline, and so would the next one of the pool.
+    Each call has its own connection and its own deadline. A connection may stop delivering data for
+    good while new ones work: a call that reuses such a connection would block until its deadline,
+    and so would the call that uses the next one of the pool.
 
     Args:
         address: Address of the store.
-        source: IP number to connect from, empty for any.
-        backend: Opens connections, None for those of the machine.
+        source: Local IP address to connect from, empty for any.
+        backend: Opens connections, None for the default network.
 
     Attributes:
-        mirror: What was read so far.
+        mirror: Copy of the content read so far.
     """
 
     __slots__ = ("_pool", "_url", "mirror")
@@ -95,10 +95,10 @@
         )
 
     async def snapshot(self) -> Published:
-        """Return all that is published; see ``PublishedState``.
+        """Return the complete published state; see ``PublishedState``.
 
-        Pages are no snapshot: the revision is that of the first page, and what changed while the
-        others were read comes once more with the changes after it.
+        The pages are not an atomic snapshot: the revision is that of the first page, and changes
+        made while the other pages were read are delivered again with the changes after it.
         """
         events: list[_WireEvent] = []
         first = 0
@@ -108,33 +108,33 @@
                 query = {"Prefix": prefix} | ({"After": after} if after else {})
                 page = await self._get("/v1/kv-range", query, 0.0, _Listing)
                 first = first or page.current_rev
-                events += [_written(each) for each in page.items]
+                events += [_listed_event(each) for each in page.items]
                 if not page.has_more or not page.items:
                     break
                 after = page.items[-1].key
-        found, unreadable = _decoded(events)
+        found, unreadable = _decode_events(events)
         self.mirror.replace(first, found)
-        return published(first, found, unreadable)
+        return decode_published(first, found, unreadable)
 
     async def changes(self, after: int, wait: float) -> Published | None:
-        """Return what changed; see ``PublishedState``."""
-        query = {"Prefix": "", "After": after, "WaitMs": int(wait * MS)}
+        """Return the changes after a revision; see ``PublishedState``."""
+        query = {"Prefix": "", "After": after, "WaitMs": int(wait * MS_PER_SECOND)}
         try:
             answer = await self._get("/v1/kv-watch", query, wait, _Watch)
         except _HistoryGoneError:
             return None
-        found, unreadable = _decoded(answer.events)
+        found, unreadable = _decode_events(answer.events)
         self.mirror.extend(answer.current_rev, found)
-        return published(answer.current_rev, found, unreadable)
+        return decode_published(answer.current_rev, found, unreadable)
 
     async def revision(self) -> int:
         """Return the newest revision; see ``PublishedState``."""
-        query = {"Prefix": "op/", "After": PAST_THE_CONFIG}
+        query = {"Prefix": "op/", "After": KEY_AFTER_CONFIG}
         return (await self._get("/v1/kv-range", query, 0.0, _Listing)).current_rev
 
     async def touch(self) -> None:
-        """See whether the store answers; see ``PublishedState``. The answer may be seconds old."""
-        query = {"Prefix": "op/", "After": PAST_THE_CONFIG, "StaleOk": 1}
+        """Check that the store answers; see ``PublishedState``. The answer may be seconds old."""
+        query = {"Prefix": "op/", "After": KEY_AFTER_CONFIG, "StaleOk": 1}
         await self._get("/v1/kv-range", query, 0.0, _Listing)
 
     async def close(self) -> None:
@@ -146,7 +146,7 @@
     ) -> Answer:
         url = f"{self._url}{path}?{urlencode(query)}"
         try:
-            with anyio.fail_after(wait + ANSWER_MARGIN):
+            with anyio.fail_after(wait + ANSWER_MARGIN_SECONDS):
                 response = await self._pool.request("GET", url)
         except (httpcore.NetworkError, httpcore.ProtocolError, OSError, TimeoutError) as exc:
             raise PlatformError(Code.PLATFORM_UNREACHABLE, f"{path}: {exc!r}") from exc
@@ -158,16 +158,16 @@
 
 
 class _HistoryGoneError(PlatformError):
-    """The store no longer has the history after the revision that was asked for."""
+    """The store no longer has the history after the requested revision."""
 
 
-def _written(item: _Item) -> _WireEvent:
-    """Return an item of a listing as the event of its writing."""
+def _listed_event(item: _Item) -> _WireEvent:
+    """Convert an item of a listing to the event that wrote it."""
     return _WireEvent(key=item.key, value=item.value, rev=item.rev, created_rev=item.created_rev)
 
 
-def _decoded(events: Sequence[_WireEvent]) -> tuple[list[Event], list[str]]:
-    """Return events with their content, and what of them cannot be read."""
+def _decode_events(events: Sequence[_WireEvent]) -> tuple[list[Event], list[str]]:
+    """Return events with decoded content, and a description of each that cannot be decoded."""
     found: list[Event] = []
     unreadable: list[str] = []
     for each in events:
@@ -177,7 +177,8 @@
             if not each.key.startswith(ENDPOINT_PREFIX):
                 unreadable.append(f"{each.key}: {exc}")
                 continue
-            # Bytes that no entry has, so that the endpoint is named by none and used no more.
+            # Empty content is never a valid entry, so the endpoint is reported as unreadable and
+            # no longer used.
             content = b""
         found.append(Event(each.key, each.rev, each.created_rev, each.deleted, content))
     return found, unreadable
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -13,7 +13,7 @@
 from carawayhub.gateway.freshness import Bounds, ReadTimes, read_times
 from carawayhub.gateway.gossip import LEAST_INTERVAL
 from carawayhub.platform import entry
-from carawayhub.platform.settings import PromiseBounds
+from carawayhub.platform.settings import GuaranteeBounds
 
 STORE_SECONDS = 0.02
 """A call of a store that answers in a few milliseconds, over a connection of its own."""
@@ -71,7 +71,7 @@
     def test_every_bound_that_is_decoded_is_read(self) -> None:
         """Guards against a promise whose bound is decoded and guarded by nothing."""
         source = Path(entry.__file__).read_text()
-        for each in fields(PromiseBounds):
+        for each in fields(GuaranteeBounds):
             with self.subTest(bound=each.name):
                 self.assertIn(f"bounds.{each.name}", source)
 
--- a/tests/test_platform_entries.py
+++ b/tests/test_platform_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the platform's store: other writers' entries, and replicas that start again."""
+"""Entries in the platform's store: those of other programs, and of restarted replicas."""
 
 import json
 import unittest
@@ -38,12 +38,12 @@
 
 
 def decode(entry: object, key: str = "servers/i-1") -> Endpoint:
-    """Return the endpoint of an entry."""
+    """Decode an entry to its endpoint."""
     return decode_endpoint(key, json.dumps(entry).encode(), 7)
 
 
 class Reading(unittest.TestCase):
-    """One entry."""
+    """Decoding of one entry."""
 
     def test_whole_entry(self) -> None:
         found = decode(ENTRY)
@@ -56,10 +56,10 @@
         self.assertEqual(decode(entry).id, "i-1")
 
     def test_entry_of_another_writer_names_no_endpoint(self) -> None:
-        """A caller's request went to an address that no replica ever had.
+        """A caller's request was sent to an address that no replica ever had.
 
-        Another program writes into the store under the prefix of the replicas. What it wrote looked
-        enough like an entry, and everything that was not "draining" or unknown was taken for ready.
+        Another program writes to the store under the prefix of the replicas. Its value resembled an
+        entry, and every state other than "draining" or unknown was taken for ready.
         """
         needed = ("Service", "Address", "Zone", "Version", "Slots", "State", "ColdLeftMs", "Seq")
         bad: list[object] = [
@@ -130,7 +130,7 @@
 
 
 class InTheView(unittest.TestCase):
-    """What an entry makes of entries."""
+    """How the fleet view of a gateway applies store entries."""
 
     def setUp(self) -> None:
         self.view = FleetView(ManualClock(100.0), 1.2)
@@ -147,10 +147,10 @@
         return {each.id for each in self.view.serving("llm")}
 
     def test_replica_that_starts_again_is_another_endpoint(self) -> None:
-        """A sound replica got no requests for seconds after it had crashed and come back.
+        """A healthy replica received no requests for seconds after a crash and restart.
 
-        It came back under its id, and the breaks, refusals and requests in flight that stood under
-        that id were those of its former lifetime.
+        It restarted under the same id, and the interrupted answers, rejections and requests in
+        flight recorded under that id were those of its previous lifetime.
         """
         self.take(4, EndpointPublished(endpoint("i-1", born=2_000)))
         self.assertEqual(self.serving(), {"i-1@2000", "i-2"})
@@ -164,19 +164,19 @@
         self.assertEqual(self.serving(), {"i-1@2000", "i-2"})
 
     def test_clock_that_was_set_back_hides_no_replica_for_ever(self) -> None:
-        """The VM's clock jumped back before the replica started again.
+        """The VM's clock was set back before the replica restarted.
 
-        Its new lifetime seems older than the former one; once that one's entry is removed, the new
-        one counts.
+        The new lifetime seems older than the previous one; it counts once the previous entry is
+        removed.
         """
         self.take(4, EndpointRemoved("i-1"), EndpointPublished(endpoint("i-1", born=400)))
         self.assertEqual(self.serving(), {"i-1@400", "i-2"})
 
     def test_replica_whose_clock_was_set_back_is_heard_when_it_goes_on(self) -> None:
-        """A replica drained and was sent requests for as long as it lived.
+        """A draining replica was sent requests for as long as it lived.
 
-        Its clock was set back before it started again, and its entry was never removed: everything
-        that it said seemed to be of a former lifetime.
+        Its clock was set back before it restarted, and its entry was never removed, so all its
+        updates seemed to come from a previous lifetime.
         """
         draining = endpoint("i-1", born=400, state=EndpointState.DRAINING)
         self.take(4, EndpointPublished(draining))
@@ -210,10 +210,10 @@
         self.assertEqual(self.serving(), {"i-1@1000"})
 
     def test_service_that_nobody_named_takes_no_address_over(self) -> None:
-        """All requests of a service were refused though its replicas were up.
+        """All requests of a service were rejected although its replicas were available.
 
-        An entry of another writer named their address, with a service of its own, and had been made
-        later than theirs.
+        An entry of another program had their address, a different service and a later creation
+        revision.
         """
         foreign = endpoint("x-1", service="else", address="10.0.0.2:80", registered=9)
         self.take(4, EndpointPublished(foreign))
@@ -221,7 +221,7 @@
 
 
 class Counters(unittest.TestCase):
-    """The counters of a rank that started again."""
+    """Counters of a restarted rank."""
 
     def test_counts_that_began_anew_are_no_growth(self) -> None:
         meter = GrowthMeter()
--- a/tests/test_platform_metrics.py
+++ b/tests/test_platform_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of entries and agents, where the deploy file says that they are."""
+"""Metrics of entries and agents, at the address in the deploy file."""
 
 import tomllib
 import unittest
@@ -29,7 +29,7 @@
 
 
 class Metrics(unittest.TestCase):
-    """What collectors read."""
+    """The metrics page that collectors read."""
 
     def test_deploy_file_names_the_address_for_every_role(self) -> None:
         roles = tomllib.loads(DEPLOY_FILE.read_text(encoding="utf-8"))["roles"]
--- a/tests/test_platform_mirror.py
+++ b/tests/test_platform_mirror.py
@@ -1,4 +1,4 @@
-"""What entries hand on to each other of the store: always whole, never older than what is known."""
+"""Store content that entries forward: always complete, never older than what is known."""
 
 import random
 import unittest
@@ -10,11 +10,11 @@
 from carawayhub.gateway.ports import EndpointRemoved
 from carawayhub.peers import questions
 from carawayhub.platform.changes import Event
-from carawayhub.platform.mirror import MOST_HANDED, REMOVALS_KEPT, StoreMirror
+from carawayhub.platform.mirror import MAX_FORWARDED_BYTES, MAX_REMOVED_KEYS, StoreMirror
 
 
 class FakeStore:
-    """Keys that are written and removed, each change at a revision of its own."""
+    """Store whose keys are written and removed, each change at its own revision."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -38,20 +38,20 @@
 
 
 class Mirrors(unittest.TestCase):
-    """Several entries of which some read the store and some each other."""
+    """Several entries, some of which read the store and some each other."""
 
     def contents(self, mirror: StoreMirror) -> dict[str, Event]:
-        told = StoreMirror()
+        copy = StoreMirror()
         data = mirror.told_after(-1)
         if data is not None:
-            told.take(data)
-        return told._written
+            copy.take(data)
+        return copy._written
 
     def test_all_know_what_was_written_whoever_told_them(self) -> None:
-        """Entries read the store, ask each other, miss changes, and start anew, in any order.
+        """Entries read the store, ask each other, miss changes and restart, in any order.
 
-        An entry that took a part for the whole would send requests to an endpoint that left, or
-        let a key in that was taken away.
+        An entry that took partial content for complete would send requests to an endpoint that
+        left, or accept a revoked key.
         """
         for seed in range(40):
             rng = random.Random(seed)
@@ -82,24 +82,24 @@
             case 2:
                 mirrors[at] = StoreMirror()
             case 3 | 4:
-                self.hand_on(rng, rng.choice(mirrors), mirrors[at], store)
+                self.forward(rng, rng.choice(mirrors), mirrors[at], store)
             case _:
                 store.change()
 
-    def hand_on(
-        self, rng: random.Random, teller: StoreMirror, asker: StoreMirror, store: FakeStore
+    def forward(
+        self, rng: random.Random, sender: StoreMirror, receiver: StoreMirror, store: FakeStore
     ) -> None:
-        asked = asker.revision
-        data = teller.told_after(asked)
+        asked = receiver.revision
+        data = sender.told_after(asked)
         if data is None:
-            self.assertLessEqual(teller.revision, asked)
+            self.assertLessEqual(sender.revision, asked)
             return
         if rng.random() < 0.3:
-            asker.extend(store.revision, store.since(asked))
-        before = asker.revision
+            receiver.extend(store.revision, store.since(asked))
+        before = receiver.revision
         for _ in range(rng.randint(1, 2)):
-            asker.take(data)
-        self.assertGreaterEqual(asker.revision, before)
+            receiver.take(data)
+        self.assertGreaterEqual(receiver.revision, before)
 
     def test_removal_is_told_to_who_is_a_little_behind(self) -> None:
         mirror = StoreMirror()
@@ -114,23 +114,23 @@
     def test_who_is_far_behind_is_told_everything(self) -> None:
         mirror = StoreMirror()
         mirror.replace(1, [])
-        for at in range(REMOVALS_KEPT + 10):
+        for at in range(MAX_REMOVED_KEYS + 10):
             mirror.extend(at + 2, [Event(f"servers/i-{at}", at + 2, deleted=True)])
         data = mirror.told_after(2)
         self.assertTrue(StoreMirror().take(data).whole)
 
     def test_more_than_a_datagram_holds_is_read_from_the_store(self) -> None:
         mirror = StoreMirror()
-        mirror.replace(1, [Event("op/config", 1, content=bytes(MOST_HANDED))])
+        mirror.replace(1, [Event("op/config", 1, content=bytes(MAX_FORWARDED_BYTES))])
         self.assertIsNone(mirror.told_after(0))
 
     def test_all_that_is_handed_on_can_be_unpacked(self) -> None:
-        """A configuration of 100 KB was sent compressed, and the receiver unpacked 64 KB of it.
+        """A configuration of 100 KB was sent compressed, but a receiver unpacks only 64 KB.
 
-        No peer could read the answer, and each asked two of them before it read the store.
+        No peer could decode the answer, and each asked two peers before it read the store.
         """
         mirror = StoreMirror()
-        mirror.replace(1, [Event("op/config", 1, content=bytes(MOST_HANDED - 64))])
+        mirror.replace(1, [Event("op/config", 1, content=bytes(MAX_FORWARDED_BYTES - 64))])
         content = mirror.told_after(0)
         self.assertIsNotNone(content)
         answer = questions.Answer(number=2**40, asker="f" * 8, ok=True, content=content)
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: settings, configuration, registrations, calls to the store and to ranks."""
+"""Platform adapter: settings, configuration, registrations, calls to the store and to ranks."""
 
 import base64
 import json
@@ -116,7 +116,7 @@
 
 
 class Settings(unittest.TestCase):
-    """Settings files."""
+    """Decoding of settings files."""
 
     def test_fields_and_unknown_ones(self) -> None:
         settings = parse_node_settings(SETTINGS, "local.toml")
@@ -141,7 +141,7 @@
 
 
 class Config(unittest.TestCase):
-    """What operators and endpoints publish."""
+    """Decoding of the configuration and of registrations."""
 
     def test_configuration(self) -> None:
         table = decode_route_table(json.dumps(CONFIG).encode())
@@ -186,7 +186,7 @@
         self.calls = calls
         self.asked: list[tuple[str, dict, dict | None]] = []
 
-    def run(self, story) -> None:
+    def run(self, scenario) -> None:
         async def script(stream, taken) -> None:
             url = urlsplit(taken.line.split()[1])
             query = {key: values[0] for key, values in parse_qs(url.query, True).items()}
@@ -202,7 +202,7 @@
             async with anyio.create_task_group() as tasks:
                 await tasks.start(server.serve)
                 with anyio.fail_after(10.0):
-                    await story(Address.parse(server.address))
+                    await scenario(Address.parse(server.address))
                 tasks.cancel_scope.cancel()
 
         anyio.run(main)
@@ -223,7 +223,7 @@
     def test_snapshot_reads_all_pages_and_keeps_the_first_revision(self) -> None:
         server = JsonServer({"/v1/kv-range": self.pages})
 
-        async def story(address: Address) -> None:
+        async def scenario(address: Address) -> None:
             published = await StoreClient(address).snapshot()
             self.assertEqual(published.revision, 9)
             found = [c.endpoint for c in published.changes if isinstance(c, EndpointPublished)]
@@ -233,7 +233,7 @@
             unreadable = [c for c in published.changes if isinstance(c, EndpointUnreadable)]
             self.assertEqual([each.replica for each in unreadable], ["i-2"])
 
-        server.run(story)
+        server.run(scenario)
 
     def test_watch_gives_changes_removals_and_lost_history(self) -> None:
         events = [item("servers/i-1", BEAT, 12), {"Key": "servers/i-2", "Rev": 13, "Deleted": True}]
@@ -243,7 +243,7 @@
                 return 410, {}
             return 200, {"events": events, "CurrentRev": 13}
 
-        async def story(address: Address) -> None:
+        async def scenario(address: Address) -> None:
             store = StoreClient(address)
             published = await store.changes(11, 1.5)
             self.assertEqual(published.revision, 13)
@@ -251,22 +251,22 @@
             self.assertEqual(published.changes[1], EndpointRemoved("i-2"))
             self.assertIsNone(await store.changes(5, 1.5))
 
-        JsonServer({"/v1/kv-watch": watch}).run(story)
+        JsonServer({"/v1/kv-watch": watch}).run(scenario)
 
     def test_refusals_and_nonsense_are_errors(self) -> None:
         answers = iter([(503, {}), (429, {}), (200, b"<html>"), (200, {"Items": []})])
 
-        async def story(address: Address) -> None:
+        async def scenario(address: Address) -> None:
             store = StoreClient(address)
             for code in (Code.PLATFORM_UNREACHABLE,) * 2 + (Code.PLATFORM_MALFORMED,) * 2:
                 with self.assertRaises(PlatformError) as caught:
                     await store.revision()
                 self.assertEqual(caught.exception.code, code)
 
-        JsonServer({"/v1/kv-range": lambda query, body: next(answers)}).run(story)
+        JsonServer({"/v1/kv-range": lambda query, body: next(answers)}).run(scenario)
 
     def test_silent_store_is_given_up(self) -> None:
-        """The connection stays open and nothing comes; waiting for it would hide every change."""
+        """The connection stays open without data; waiting on it would hide every change."""
 
         async def silent(stream, taken) -> None:
             await anyio.sleep_forever()
@@ -311,7 +311,7 @@
                 }
             return 200, {"step": 90, "epoch": 3, "Counts": [5, 0, 9]}
 
-        async def story(address: Address) -> None:
+        async def scenario(address: Address) -> None:
             rank = RankClient(address)
             report = await rank.report()
             self.assertEqual((report.group, report.epoch, report.rank), ("g0", 3, 2))
@@ -323,13 +323,13 @@
             self.assertEqual((held.version, held.experts), (7, ((1, 2), (3,))))
 
         calls = {"/v1/report": lambda query, body: (200, REPORT), "/v1/picked": picked}
-        JsonServer(calls).run(story)
+        JsonServer(calls).run(scenario)
 
     def test_orders_carry_formation_and_fence(self) -> None:
         statuses = iter([202, 200, 409, 500])
         server = JsonServer({"/v1/order": lambda query, body: (next(statuses), {})})
 
-        async def story(address: Address) -> None:
+        async def scenario(address: Address) -> None:
             rank = RankClient(address)
             answers = [
                 await rank.order(Prepare(8, (((0,), (1,)),)), 3, 5),
@@ -340,7 +340,7 @@
             expected = [OrderAnswer.ACCEPTED] * 2 + [OrderAnswer.REFUSED, OrderAnswer.UNKNOWN]
             self.assertEqual(answers, expected)
 
-        server.run(story)
+        server.run(scenario)
         bodies = [body for _, _, body in server.asked]
         self.assertEqual([body["Fence"] for body in bodies], [5, 6, 6, 7])
         self.assertEqual({body["epoch"] for body in bodies}, {3})
@@ -348,12 +348,12 @@
         self.assertEqual(bodies[0]["Map"], [[[0], [1]]])
 
     def test_unreadable_report_is_an_error(self) -> None:
-        async def story(address: Address) -> None:
+        async def scenario(address: Address) -> None:
             with self.assertRaises(GroupError) as caught:
                 await RankClient(address).report()
             self.assertEqual(caught.exception.code, Code.RANK_MALFORMED)
 
-        JsonServer({"/v1/report": lambda query, body: (200, {"size": 1})}).run(story)
+        JsonServer({"/v1/report": lambda query, body: (200, {"size": 1})}).run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/unguarded.py
+++ b/tests/unguarded.py
@@ -343,7 +343,7 @@
     from carawayhub.fleet import vmsync, watchers
     from carawayhub.platform import client
 
-    replace(client, "ANSWER_MARGIN", FOREVER)
+    replace(client, "ANSWER_MARGIN_SECONDS", FOREVER)
     replace(watchers, "SILENCE_MARGIN", FOREVER)
     replace(vmsync, "SILENCE_MARGIN", FOREVER)
 
