--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -247,10 +247,12 @@
         self.proxy.links[self.rng.choice(list(self.proxy.links))].cut_open()
 
     async def _break(self) -> None:
-        self.replicas[f"replica-{self.rng.randrange(4)}"].breaks += self.rng.randint(1, 3)
+        self.replicas[f"replica-{self.rng.randrange(4)}"].streams_to_break += self.rng.randint(1, 3)
 
     async def _lose(self) -> None:
-        self.replicas[f"replica-{self.rng.randrange(4, 6)}"].loses += self.rng.randint(1, 2)
+        self.replicas[f"replica-{self.rng.randrange(4, 6)}"].answers_to_lose += self.rng.randint(
+            1, 2
+        )
 
     async def _drain(self) -> None:
         name = f"replica-{self.rng.randrange(4)}"
--- a/carawayhub/platform/__main__.py
+++ b/carawayhub/platform/__main__.py
@@ -18,14 +18,14 @@
 USAGE_STATUS = 2
 
 
-def main(words: list[str]) -> int:
+def main(args: list[str]) -> int:
     """Run the given role and return the exit status."""
     signal.signal(signal.SIGTERM, _exit_early)
     _disable_trio()
     try:
         settings = _read_settings()
         configure_logs(BoundedLines(sys.stdout.fileno()), "INFO", settings.name)
-        _run(words, settings)
+        _run(args, settings)
     except CommandError as exc:
         print(str(exc), file=sys.stderr)
         return USAGE_STATUS
@@ -57,10 +57,10 @@
     return Path(path)
 
 
-def _run(words: list[str], settings: NodeSettings) -> None:
+def _run(args: list[str], settings: NodeSettings) -> None:
     options = {"use_uvloop": True}
     rng = random.Random()
-    match words:
+    match args:
         case ["entry"]:
             from carawayhub.platform.entry import run_gateway
 
--- a/carawayhub/platform/agent.py
+++ b/carawayhub/platform/agent.py
@@ -59,13 +59,13 @@
         service: Name of the service.
     """
 
-    __slots__ = ("_named", "_profile", "_service", "_store")
+    __slots__ = ("_service_names", "_profile", "_service", "_store")
 
     def __init__(self, store: StoreClient, service: str) -> None:
         self._store = store
         self._service = service
         self._profile: EngineProfile | None = None
-        self._named: frozenset[str] = frozenset()
+        self._service_names: frozenset[str] = frozenset()
 
     async def replicas(self, group: str) -> Sequence[tuple[str, Address]]:
         """Return the instance id and address of each replica that may belong to a group.
@@ -77,14 +77,15 @@
         listed = [
             change.endpoint
             for change in published.changes
-            if isinstance(change, EndpointPublished) and change.endpoint.service in self._named
+            if isinstance(change, EndpointPublished)
+            and change.endpoint.service in self._service_names
         ]
-        former = superseded(listed)
+        superseded_ids = superseded(listed)
         return [
             (each.incarnation.replica, each.address)
             for each in listed
             if each.service == self._service
-            and each.id not in former
+            and each.id not in superseded_ids
             and (each.seat is None or each.seat.group == group)
         ]
 
@@ -98,7 +99,7 @@
         published = await self._store.snapshot()
         for change in published.changes:
             if isinstance(change, TablePublished):
-                self._named = frozenset(change.table.services)
+                self._service_names = frozenset(change.table.services)
                 service = change.table.services.get(self._service)
                 if service is not None:
                     self._profile = service.engine
--- a/carawayhub/platform/mirror.py
+++ b/carawayhub/platform/mirror.py
@@ -67,7 +67,7 @@
         """Apply the events up to a newer revision."""
         for event in events:
             if event.rev >= self._last_revision(event.key):
-                self._keep(event)
+                self._store_event(event)
         while len(self._removed) > MAX_REMOVED_KEYS:
             oldest = min(self._removed.values(), key=lambda each: each.rev)
             del self._removed[oldest.key]
@@ -111,7 +111,7 @@
         last = self._written.get(key) or self._removed.get(key)
         return last.rev if last is not None else 0
 
-    def _keep(self, event: Event) -> None:
+    def _store_event(self, event: Event) -> None:
         if event.deleted:
             self._written.pop(event.key, None)
             self._removed[event.key] = event
--- a/carawayhub/platform/standins.py
+++ b/carawayhub/platform/standins.py
@@ -28,8 +28,8 @@
 EVENTS_PER_STREAM = 8
 """Number of events in each stream."""
 
-EVENT_SECONDS = 0.04
-PLAIN_SECONDS = 0.02
+EVENT_INTERVAL_SECONDS = 0.04
+PLAIN_ANSWER_SECONDS = 0.02
 
 
 class StandinStore:
@@ -118,8 +118,8 @@
     Attributes:
         instance: The current incarnation.
         places: Concurrent requests; more are rejected.
-        breaks: Number of coming streams to cut off midway.
-        loses: Number of coming plain answers to drop after the request ran.
+        streams_to_break: Number of coming streams to cut off midway.
+        answers_to_lose: Number of coming plain answers to drop after the request ran.
         runs: Executed requests, over all incarnations.
         busy: Number of requests running now.
         misdirected: Rejected requests for another incarnation, counted by request id.
@@ -127,8 +127,8 @@
 
     instance: str
     places: int = 6
-    breaks: int = 0
-    loses: int = 0
+    streams_to_break: int = 0
+    answers_to_lose: int = 0
     runs: list[RecordedRun] = field(default_factory=list)
     busy: int = 0
     misdirected: Counter[str] = field(default_factory=Counter)
@@ -161,9 +161,9 @@
             self.busy -= 1
 
     async def _plain(self, request: str, send: Send, sealed: list[tuple[bytes, bytes]]) -> None:
-        await anyio.sleep(PLAIN_SECONDS)
-        if self.loses:
-            self.loses -= 1
+        await anyio.sleep(PLAIN_ANSWER_SECONDS)
+        if self.answers_to_lose:
+            self.answers_to_lose -= 1
             return
         await _answer(send, 200, {"request": request}, sealed)
 
@@ -174,10 +174,10 @@
         kind = [(b"content-type", STREAM_TYPE)]
         await send({"type": "http.response.start", "status": 200, "headers": sealed + kind})
         for number in range(first, EVENTS_PER_STREAM + 1):
-            await anyio.sleep(EVENT_SECONDS)
+            await anyio.sleep(EVENT_INTERVAL_SECONDS)
             event = b"id: %d\ndata: line %d\n\n" % (number, number)
-            if self.breaks and number > EVENTS_PER_STREAM // 2:
-                self.breaks -= 1
+            if self.streams_to_break and number > EVENTS_PER_STREAM // 2:
+                self.streams_to_break -= 1
                 await send({"type": "http.response.body", "body": event[:7], "more_body": True})
                 return
             await send({"type": "http.response.body", "body": event, "more_body": True})
--- a/tests/test_platform_mirror.py
+++ b/tests/test_platform_mirror.py
@@ -87,19 +87,19 @@
                 store.change()
 
     def forward(
-        self, rng: random.Random, sender: StoreMirror, receiver: StoreMirror, store: FakeStore
+        self, rng: random.Random, sender: StoreMirror, asker: StoreMirror, store: FakeStore
     ) -> None:
-        asked = receiver.revision
+        asked = asker.revision
         data = sender.told_after(asked)
         if data is None:
             self.assertLessEqual(sender.revision, asked)
             return
         if rng.random() < 0.3:
-            receiver.extend(store.revision, store.since(asked))
-        before = receiver.revision
+            asker.extend(store.revision, store.since(asked))
+        before = asker.revision
         for _ in range(rng.randint(1, 2)):
-            receiver.take(data)
-        self.assertGreaterEqual(receiver.revision, before)
+            asker.take(data)
+        self.assertGreaterEqual(asker.revision, before)
 
     def test_removal_is_told_to_who_is_a_little_behind(self) -> None:
         mirror = StoreMirror()
