--- a/carawayhub/platform/headers.py
+++ b/carawayhub/platform/headers.py
@@ -55,7 +55,7 @@
         """Decode the request of an ASGI scope, without its body."""
         headers: Headers = scope["headers"]
         found = dict(headers)
-        hop_by_hop = _connection_headers(headers)
+        named = _connection_headers(headers)
         prompt, answer = _token_counts(found.get(TOKEN_COUNTS, b""))
         query = scope["query_string"]
         raw_path: bytes = scope["raw_path"]
@@ -68,7 +68,7 @@
             headers=[
                 (name, value)
                 for name, value in headers
-                if name not in _NOT_FORWARDED and name not in hop_by_hop
+                if name not in _NOT_FORWARDED and name not in named
             ],
             key=_key(found.get(AUTHORIZATION, b"")),
             waits=_wait_seconds(found.get(DEADLINE)),
@@ -79,11 +79,11 @@
 
     def dispatch(self, req: CallerRequest, dispatch: Dispatch) -> Headers:
         """Return the headers of a request to an endpoint."""
-        remaining_ms = max(MIN_DEADLINE_MS, int(dispatch.seconds * MS_PER_SECOND))
+        left = max(MIN_DEADLINE_MS, int(dispatch.seconds * MS_PER_SECOND))
         headers = [
             (b"host", req.host.encode("latin-1")),
             *req.headers,
-            (DEADLINE, str(remaining_ms).encode()),
+            (DEADLINE, str(left).encode()),
             (EXPECT_INSTANCE, dispatch.replica.encode()),
             (URGENCY, str(min(LEAST_URGENT, dispatch.urgency)).encode()),
         ]
@@ -98,13 +98,13 @@
     def answer(self, status: int, headers: Headers) -> AnswerHead:
         """Return the head of an endpoint's answer."""
         found = {name.lower(): value for name, value in headers}
-        hop_by_hop = _connection_headers(headers)
+        named = _connection_headers(headers)
         return AnswerHead(
             status=status,
             headers=[
                 (name, value)
                 for name, value in headers
-                if name.lower() not in _NOT_RETURNED and name.lower() not in hop_by_hop
+                if name.lower() not in _NOT_RETURNED and name.lower() not in named
             ],
             request_id=found.get(REQUEST_ID, b""),
             sealed=SEAL in found,
