--- a/carawayhub/platform/mirror.py
+++ b/carawayhub/platform/mirror.py
@@ -1,4 +1,4 @@
-"""Local copy of the store's encoded keys, which entries forward to each other."""
+"""Local copy of the store's content, which entries forward to each other undecoded."""
 
 from collections.abc import Iterable
 
--- a/carawayhub/platform/registrations.py
+++ b/carawayhub/platform/registrations.py
@@ -85,7 +85,7 @@
     """Return the id of the replica whose entry is stored under ``key``.
 
     Raises:
-        ValueError: The key has no valid replica id; such an id could not be sent in a header.
+        ValueError: The key has no valid replica id; an invalid id could not be sent in a header.
     """
     replica = key.removeprefix(ENDPOINT_PREFIX)
     if not _REPLICA.fullmatch(replica):
