--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -180,18 +180,18 @@
 
 
 class JsonServer:
-    """Answers calls from a table of paths to functions of the query."""
+    """Test server that maps each path to a function of the query and the body."""
 
     def __init__(self, calls: dict) -> None:
         self.calls = calls
-        self.asked: list[tuple[str, dict, dict | None]] = []
+        self.requests: list[tuple[str, dict, dict | None]] = []
 
     def run(self, scenario) -> None:
-        async def script(stream, taken) -> None:
-            url = urlsplit(taken.line.split()[1])
+        async def script(stream, req) -> None:
+            url = urlsplit(req.line.split()[1])
             query = {key: values[0] for key, values in parse_qs(url.query, True).items()}
-            body = json.loads(taken.body) if taken.body else None
-            self.asked.append((url.path, query, body))
+            body = json.loads(req.body) if req.body else None
+            self.requests.append((url.path, query, body))
             status, answer = self.calls[url.path](query, body)
             data = answer if isinstance(answer, bytes) else json.dumps(answer).encode()
             head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(data)}\r\n\r\n".encode()
@@ -268,7 +268,7 @@
     def test_silent_store_is_given_up(self) -> None:
         """The connection stays open without data; waiting on it would hide every change."""
 
-        async def silent(stream, taken) -> None:
+        async def silent(stream, req) -> None:
             await anyio.sleep_forever()
 
         async def main() -> None:
@@ -341,7 +341,7 @@
             self.assertEqual(answers, expected)
 
         server.run(scenario)
-        bodies = [body for _, _, body in server.asked]
+        bodies = [body for _, _, body in server.requests]
         self.assertEqual([body["Fence"] for body in bodies], [5, 6, 6, 7])
         self.assertEqual({body["epoch"] for body in bodies}, {3})
         self.assertEqual([body["Operation"] for body in bodies], ["prepare", "arm", "Hold", "go"])
