--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -187,10 +187,10 @@
         self.requests: list[tuple[str, dict, dict | None]] = []
 
     def run(self, scenario) -> None:
-        async def script(stream, req) -> None:
-            url = urlsplit(req.line.split()[1])
+        async def script(stream, taken) -> None:
+            url = urlsplit(taken.line.split()[1])
             query = {key: values[0] for key, values in parse_qs(url.query, True).items()}
-            body = json.loads(req.body) if req.body else None
+            body = json.loads(taken.body) if taken.body else None
             self.requests.append((url.path, query, body))
             status, answer = self.calls[url.path](query, body)
             data = answer if isinstance(answer, bytes) else json.dumps(answer).encode()
@@ -268,7 +268,7 @@
     def test_silent_store_is_given_up(self) -> None:
         """The connection stays open without data; waiting on it would hide every change."""
 
-        async def silent(stream, req) -> None:
+        async def silent(stream, taken) -> None:
             await anyio.sleep_forever()
 
         async def main() -> None:
