--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -24,7 +24,7 @@
 from carawayhub.clock import SystemClock
 from carawayhub.platform.settings import SETTINGS_VARIABLE
 from carawayhub.platform.standins import (
-    Ran,
+    RecordedRun,
     StandinReplica,
     StandinStore,
     configuration,
@@ -247,10 +247,12 @@
         self.proxy.links[self.rng.choice(list(self.proxy.links))].cut_open()
 
     async def _break(self) -> None:
-        self.replicas[f"replica-{self.rng.randrange(4)}"].breaks += self.rng.randint(1, 3)
+        self.replicas[f"replica-{self.rng.randrange(4)}"].streams_to_break += self.rng.randint(1, 3)
 
     async def _lose(self) -> None:
-        self.replicas[f"replica-{self.rng.randrange(4, 6)}"].loses += self.rng.randint(1, 2)
+        self.replicas[f"replica-{self.rng.randrange(4, 6)}"].answers_to_lose += self.rng.randint(
+            1, 2
+        )
 
     async def _drain(self) -> None:
         name = f"replica-{self.rng.randrange(4)}"
@@ -321,7 +323,7 @@
         statuses = dict(sorted(Counter(ask.status for ask in self.asks).items()))
         return f"{len(self.asks)} requests {statuses}"
 
-    def _check_drain(self, run: Ran) -> None:
+    def _check_drain(self, run: RecordedRun) -> None:
         """Look whether a replica that had said it was leaving got new work much later."""
         since = self.drained.get(run.instance)
         if since is None or run.at <= since + DRAIN_SECONDS + SLACK:
--- a/carawayhub/platform/agent.py
+++ b/carawayhub/platform/agent.py
@@ -21,7 +21,7 @@
 
 
 async def run_agent(settings: NodeSettings, clock: Clock) -> None:
-    """Run an agent until it is told to stop.
+    """Run an agent until a stop signal arrives.
 
     Raises:
         CommandError: SETTINGS_INVALID, PORT_IN_USE.
@@ -46,7 +46,7 @@
             async for each in signals:
                 if each is not signal.SIGHUP:
                     break
-                logger.info("settings changed; they hold from the next start")
+                logger.info("settings changed; the agent applies them after a restart")
         tasks.cancel_scope.cancel()
     logger.info("agent stops")
 
@@ -59,32 +59,33 @@
         service: Name of the service.
     """
 
-    __slots__ = ("_named", "_profile", "_service", "_store")
+    __slots__ = ("_service_names", "_profile", "_service", "_store")
 
     def __init__(self, store: StoreClient, service: str) -> None:
         self._store = store
         self._service = service
         self._profile: EngineProfile | None = None
-        self._named: frozenset[str] = frozenset()
+        self._service_names: frozenset[str] = frozenset()
 
     async def replicas(self, group: str) -> Sequence[tuple[str, Address]]:
         """Return the instance id and address of each replica that may belong to a group.
 
-        One whose entry names another group is left out: asked for their reports, the replicas of
-        all groups of a large service would fill the link of this VM.
+        Replicas whose entry has another group are left out: the reports of the replicas of all
+        groups of a large service would saturate the link of this VM.
         """
         published = await self._read()
         listed = [
             change.endpoint
             for change in published.changes
-            if isinstance(change, EndpointPublished) and change.endpoint.service in self._named
+            if isinstance(change, EndpointPublished)
+            and change.endpoint.service in self._service_names
         ]
-        former = superseded(listed)
+        superseded_ids = superseded(listed)
         return [
             (each.incarnation.replica, each.address)
             for each in listed
             if each.service == self._service
-            and each.id not in former
+            and each.id not in superseded_ids
             and (each.membership is None or each.membership.group == group)
         ]
 
@@ -98,7 +99,7 @@
         published = await self._store.snapshot()
         for change in published.changes:
             if isinstance(change, TablePublished):
-                self._named = frozenset(change.table.services)
+                self._service_names = frozenset(change.table.services)
                 service = change.table.services.get(self._service)
                 if service is not None:
                     self._profile = service.engine
