--- a/carawayhub/entry/answer.py
+++ b/carawayhub/entry/answer.py
@@ -45,7 +45,7 @@
         self._caller_id = caller_id
         self._clock = clock
         self.started = False
-        self.on_start: Callable[[], None] = _nothing
+        self.on_start: Callable[[], None] = _noop
         self.first_byte_at = 0.0
         self.last_part_at = 0.0
         self.dispatched_at: float | None = None
@@ -105,5 +105,5 @@
         return kept
 
 
-def _nothing() -> None:
+def _noop() -> None:
     return
--- a/carawayhub/entry/app.py
+++ b/carawayhub/entry/app.py
@@ -193,8 +193,8 @@
             organisation=organisation,
             target=target,
             method=req.scope["method"],
-            path=calls.sent_path(req.scope),
-            headers=calls.sent_headers(req.scope, target),
+            path=calls.forwarded_path(req.scope),
+            headers=calls.forwarded_headers(req.scope, target),
             body=body,
             deadline=deadline,
             key=calls.run_once_key(req.headers),
@@ -303,7 +303,7 @@
 def _admit_query(call: Call) -> AdmitQuery:
     match call.target:
         case calls.ModelTarget(model=model, max_tokens=tokens):
-            target, cost = Target(TargetKind.MODEL, model), tokens / calls.USUAL_TOKENS
+            target, cost = Target(TargetKind.MODEL, model), tokens / calls.DEFAULT_MAX_TOKENS
         case calls.ServiceTarget(service=service):
             target, cost = Target(TargetKind.SERVICE, service.name), 1.0
     return AdmitQuery(
--- a/carawayhub/entry/calls.py
+++ b/carawayhub/entry/calls.py
@@ -33,12 +33,12 @@
 COMPLETIONS_PATH = "/v1/completions"
 MODEL_PATHS = frozenset({CHAT_PATH, COMPLETIONS_PATH})
 
-BODY_TIMEOUT = 30.0
+BODY_TIMEOUT_SECONDS = 30.0
 """Seconds for a whole request; how late an idempotency key may reach its agent builds on it."""
 
-LONGEST_LENGTH = 20
+MAX_LENGTH_DIGITS = 20
 MAX_TOKENS = 1_000_000
-USUAL_TOKENS = 256
+DEFAULT_MAX_TOKENS = 256
 
 _ID_PATTERN = re.compile(r"[A-Za-z0-9._:-]{1,64}\Z")
 
@@ -138,7 +138,7 @@
         Whether the number is good is for the engine to say; here it only weighs the request.
         """
         given = self.max_completion_tokens or self.max_tokens or 0
-        return min(given, MAX_TOKENS) if given > 0 else USUAL_TOKENS
+        return min(given, MAX_TOKENS) if given > 0 else DEFAULT_MAX_TOKENS
 
 
 @dataclass(frozen=True, slots=True)
@@ -180,14 +180,14 @@
     if not text:
         return clock.monotonic() + cfg.fleet.request_deadline
     try:
-        left = float(text) / 1000
+        remaining = float(text) / 1000
     except ValueError as exc:
         raise RequestError(Code.DEADLINE_MALFORMED, repr(text)) from exc
-    if not math.isfinite(left):
+    if not math.isfinite(remaining):
         raise RequestError(Code.DEADLINE_MALFORMED, repr(text))
-    if left <= 0:
+    if remaining <= 0:
         raise RequestError(Code.DEADLINE_PASSED, "no time was left when it came")
-    return clock.monotonic() + min(left, MAX_DEADLINE_SECONDS)
+    return clock.monotonic() + min(remaining, MAX_DEADLINE_SECONDS)
 
 
 def run_once_key(headers: Headers) -> str:
@@ -214,13 +214,15 @@
         RequestError: BODY_TOO_LARGE, or BODY_MALFORMED where the caller left before its end.
     """
     declared = headers.text(b"content-length")
-    if declared.isdecimal() and int(declared[:LONGEST_LENGTH]) > MAX_BODY_BYTES:
+    if declared.isdecimal() and int(declared[:MAX_LENGTH_DIGITS]) > MAX_BODY_BYTES:
         raise RequestError(Code.BODY_TOO_LARGE, f"at most {MAX_BODY_BYTES} bytes")
     try:
-        with anyio.fail_after(BODY_TIMEOUT):
+        with anyio.fail_after(BODY_TIMEOUT_SECONDS):
             return await _read_parts(receive)
     except TimeoutError as exc:
-        raise RequestError(Code.BODY_MALFORMED, f"not whole after {BODY_TIMEOUT:.0f} s") from exc
+        raise RequestError(
+            Code.BODY_MALFORMED, f"not whole after {BODY_TIMEOUT_SECONDS:.0f} s"
+        ) from exc
 
 
 async def _read_parts(receive: Receive) -> bytes:
@@ -238,7 +240,7 @@
             return b"".join(parts)
 
 
-def sent_path(scope: Scope) -> str:
+def forwarded_path(scope: Scope) -> str:
     """Return path and query as the caller wrote them, for the endpoint.
 
     ``scope["path"]`` has its escapes resolved. Sent on like that, a space or an accent would make
@@ -249,7 +251,7 @@
     return (path + b"?" + query if query else path).decode("ascii", "replace")
 
 
-def sent_headers(scope: Scope, target: Target) -> tuple[tuple[bytes, bytes], ...]:
+def forwarded_headers(scope: Scope, target: Target) -> tuple[tuple[bytes, bytes], ...]:
     """Return the headers as they came, those for an endpoint's answer aside that no entry can read.
 
     The entry checks that each part of a model's answer is the request's own. An engine that
--- a/carawayhub/entry/relay.py
+++ b/carawayhub/entry/relay.py
@@ -1,4 +1,4 @@
-"""Relays a request that may be repeated straight to an endpoint, with retries and resumption."""
+"""Relays repeatable requests directly to endpoints, with retries and stream resumption."""
 
 import random
 from dataclasses import dataclass
@@ -39,7 +39,7 @@
 from carawayhub.routing.router import Router
 
 MAX_RESUMES = 3
-LEAST_WAIT = 0.05
+MIN_WAIT_SECONDS = 0.05
 DROPPED_HEADERS = HOP_BY_HOP_HEADERS | {
     b"authorization",
     b"content-length",
@@ -51,7 +51,7 @@
 SERVER_ERROR = 500
 OK_STATUS = 200
 
-_RETRIED = frozenset(
+_RETRYABLE_CODES = frozenset(
     {
         Code.CONNECT_FAILED,
         Code.ENDPOINT_LEAVING,
@@ -61,18 +61,20 @@
         Code.ENDPOINT_ERROR,
     }
 )
-_RESUMED = frozenset({Code.ANSWER_CUT, Code.ANSWER_MIXED, Code.ANSWER_STALLED, Code.CONNECT_FAILED})
+_RESUMABLE_CODES = frozenset(
+    {Code.ANSWER_CUT, Code.ANSWER_MIXED, Code.ANSWER_STALLED, Code.CONNECT_FAILED}
+)
 
 
 class _AnswerId(msgspec.Struct):
-    """The part of a model's whole answer that names its request."""
+    """The field of a model's complete answer that carries the request id."""
 
     id: str = ""
 
 
 @dataclass(slots=True)
 class _Attempt:
-    """One try of a call at one endpoint."""
+    """One attempt to run a call at one endpoint."""
 
     endpoint: str
     timeouts: UpstreamTimeouts
@@ -82,7 +84,7 @@
 
 
 class Relay:
-    """Relays calls.
+    """Relays repeatable calls to endpoints.
 
     Args:
         clock: Source of time.
@@ -90,8 +92,8 @@
         router: Chooses endpoints.
         retries: Budget for further attempts.
         upstream: Connections to endpoints.
-        metrics: Takes latencies.
-        ends: Knows under which requests endpoints ended.
+        metrics: Records latencies.
+        ends: Detects endpoints that ended while they ran a call.
     """
 
     __slots__ = (
@@ -125,15 +127,15 @@
         self._cfg: Configuration | None = None
 
     def configure(self, cfg: Configuration) -> None:
-        """Take a configuration into force."""
+        """Apply a configuration."""
         self._cfg = cfg
 
     async def run(self, call: Call, answer: Answer) -> None:
-        """Answer a call from one endpoint, or after a failure from another.
+        """Answer a call from one endpoint, or from another one after a failure.
 
         Raises:
-            RequestError: It has no answer; where ``answer.started`` the caller has seen a part of
-                one and the connection must be broken off.
+            RequestError: The call has no complete answer. If ``answer.started`` is set, the caller
+                has received a part of one and its connection must be aborted.
         """
         fingerprint = call.fingerprint
         self._ends.endings.check(fingerprint)
@@ -152,18 +154,18 @@
                     raise failure from exc
                 await self._before_retry(call, answer, exc, failure, attempts)
                 logger.bind(request=call.request_id, endpoint=endpoint, code=int(exc.code)).info(
-                    "attempt failed, trying another endpoint"
+                    "attempt failed; retrying"
                 )
                 continue
             self._ends.endings.answered(fingerprint)
             return
 
     def _choose(self, call: Call, tried: frozenset[str], failure: RequestError | None) -> str:
-        """Return the endpoint for the next attempt: one that was not tried, else any.
+        """Return the endpoint for the next attempt, preferably one that was not tried yet.
 
-        What went silent may be one connection and not the endpoint: something between the two ends
-        may have lost track of it while new connections work. Where a silent endpoint is the only
-        one left it is so tried again, on a new connection and within the same budget.
+        A stalled answer may be the fault of a single connection: a device on the path may have
+        dropped its state while new connections work. A stalled endpoint is therefore tried again,
+        on a new connection and within the same retry budget, if no other endpoint is left.
         """
         query = _query(call)
         try:
@@ -171,8 +173,8 @@
         except RequestError as exc:
             if failure is None:
                 raise
-            # An attempt that may have run makes the whole request unknown: "not run" would be a
-            # lie although the router itself dispatched nothing this time.
+            # An earlier attempt may have run, so its failure is reported: the router's "not run"
+            # covers only the attempt that it did not dispatch.
             if failure.code is not Code.ANSWER_STALLED:
                 raise failure from exc
         try:
@@ -183,8 +185,8 @@
     async def _before_retry(
         self, call: Call, answer: Answer, exc: RequestError, worst: RequestError, attempts: int
     ) -> None:
-        """Wait until the next attempt may begin, or raise where there is to be none."""
-        if exc.code not in _RETRIED:
+        """Wait until the next attempt may begin, or raise if no further attempt is allowed."""
+        if exc.code not in _RETRYABLE_CODES:
             raise worst
         decision = self._retries.decide(
             RetryQuery(
@@ -201,12 +203,12 @@
         await anyio.sleep(max(0.0, decision.at - self._clock.monotonic()))
 
     async def _attempt(self, call: Call, answer: Answer, endpoint: str, fingerprint: bytes) -> None:
-        left = call.deadline - self._clock.monotonic()
-        if left <= 0:
+        remaining = call.deadline - self._clock.monotonic()
+        if remaining <= 0:
             raise RequestError(Code.DEADLINE_PASSED)
-        # A silent connection shows only by its silence. Half of the time left keeps the other half
-        # for another endpoint.
-        wait = max(left / 2, LEAST_WAIT)
+        # A dead connection can only be detected by a timeout. Waiting at most half of the
+        # remaining time leaves the other half for an attempt at another endpoint.
+        wait = max(remaining / 2, MIN_WAIT_SECONDS)
         attempt = _Attempt(
             endpoint,
             UpstreamTimeouts.waiting(wait),
@@ -216,7 +218,7 @@
         )
         ok = False
         try:
-            with anyio.fail_after(left):
+            with anyio.fail_after(remaining):
                 await self._exchange(call, answer, attempt)
             ok = True
         except TimeoutError as exc:
@@ -242,11 +244,11 @@
                 check.reconnected()
                 logger.bind(
                     request=call.request_id, endpoint=attempt.endpoint, offset=check.tokens
-                ).info("stream broke off, resuming on a new connection")
-                await anyio.sleep(self._rng.uniform(0, LEAST_WAIT))
+                ).info("stream interrupted; resuming on a new connection")
+                await anyio.sleep(self._rng.uniform(0, MIN_WAIT_SECONDS))
 
     async def _has_ended(self, call: Call, attempt: _Attempt) -> bool:
-        """Return whether the endpoint of an attempt ended, so that nothing can be resumed there."""
+        """Return whether the endpoint of an attempt ended, which rules out resuming there."""
         found = self._cfg.endpoints.get(attempt.endpoint) if self._cfg is not None else None
         if found is None:
             return False
@@ -256,7 +258,7 @@
         self, answer: Answer, attempt: _Attempt, exc: RequestError, resumes: int
     ) -> bool:
         cfg = self._cfg
-        if cfg is None or not answer.started or exc.code not in _RESUMED:
+        if cfg is None or not answer.started or exc.code not in _RESUMABLE_CODES:
             return False
         endpoint = cfg.endpoints.get(attempt.endpoint)
         return endpoint is not None and endpoint.resumes and resumes < MAX_RESUMES
@@ -272,8 +274,10 @@
                 await self._relay_stream(call, answer, attempt, check, response)
                 return
             if answer.started:
-                raise RequestError(Code.ANSWER_CUT, f"resume refused, status {response.status}")
-            await self._relay_whole(call, answer, response)
+                raise RequestError(
+                    Code.ANSWER_CUT, f"endpoint rejected the resume with status {response.status}"
+                )
+            await self._relay_complete(call, answer, response)
 
     async def _relay_stream(
         self,
@@ -291,14 +295,14 @@
             self._router.progress(attempt.token)
             await passage.send(data)
         if not check.ended:
-            # The connection ended in good order but the stream did not: the endpoint gave up on
-            # it. Ended here, the caller would take a short answer for a whole one.
+            # The connection was closed normally but without the explicit end of the stream. If
+            # the answer ended here, the caller would take a truncated answer for a complete one.
             raise RequestError(Code.ANSWER_CUT, f"{attempt.endpoint} ended the stream early")
         self._metrics.tokens += check.tokens
         await answer.end()
 
-    async def _relay_whole(self, call: Call, answer: Answer, response: UpstreamResponse) -> None:
-        body = await _read_whole(response)
+    async def _relay_complete(self, call: Call, answer: Answer, response: UpstreamResponse) -> None:
+        body = await _read_complete(response)
         _check_id(call, response, body)
         if response.status >= SERVER_ERROR:
             raise RequestError(
@@ -313,12 +317,12 @@
         endpoint = self._cfg.endpoints.get(attempt.endpoint)
         if endpoint is None:
             raise RequestError(Code.ENDPOINT_LEAVING, attempt.endpoint)
-        left = max(call.deadline - self._clock.monotonic(), 0.0)
+        remaining = max(call.deadline - self._clock.monotonic(), 0.0)
         headers = [each for each in call.headers if each[0] not in DROPPED_HEADERS]
         headers.append((b"host", endpoint.url.split("//", 1)[-1].encode()))
         headers.append((b"content-length", b"%d" % len(call.body)))
         headers.append((REQUEST_ID_HEADER, call.request_id.encode()))
-        headers.append((DEADLINE_HEADER, b"%d" % (left * 1000)))
+        headers.append((DEADLINE_HEADER, b"%d" % (remaining * 1000)))
         headers.append((PRIORITY_HEADER, b"%d" % call.organisation.priority))
         if isinstance(call.target, ServiceTarget):
             headers.append(ONE_REQUEST)
@@ -335,9 +339,10 @@
         )
 
     def _may_send(self, answer: Answer, endpoint: str, offset: int) -> bool:
-        """Say whether a request may go out, which it then does.
+        """Return whether a request may be sent, and if so record it as dispatched.
 
-        A stream that is being resumed is no new work: an endpoint that leaves finishes it.
+        Resuming a stream is always permitted: it is not new work, and an endpoint that is leaving
+        still finishes its streams.
         """
         if offset == 0 and not self._router.permitted(endpoint):
             return False
@@ -366,7 +371,7 @@
 
 
 def _worse(first: RequestError | None, second: RequestError) -> RequestError:
-    """Return the failure that says less: "unknown" outweighs "not run"."""
+    """Return the failure with the less certain outcome: "unknown" outweighs "not run"."""
     if first is not None and first.outcome is Outcome.UNKNOWN:
         return first
     return second
@@ -380,33 +385,35 @@
     )
 
 
-async def _read_whole(response: UpstreamResponse) -> bytes:
+async def _read_complete(response: UpstreamResponse) -> bytes:
     parts: list[bytes] = []
     size = 0
     async for part in response.aiter_stream():
         parts.append(part)
         size += len(part)
         if size > MAX_BODY_BYTES:
-            raise RequestError(Code.ENDPOINT_ERROR, f"the answer is over {MAX_BODY_BYTES} bytes")
+            raise RequestError(Code.ENDPOINT_ERROR, f"answer is larger than {MAX_BODY_BYTES} bytes")
     if not response.framed:
-        raise RequestError(Code.ANSWER_CUT, "the endpoint does not say where its answer ends")
+        raise RequestError(
+            Code.ANSWER_CUT, "answer has neither a content length nor chunked framing"
+        )
     return b"".join(parts)
 
 
 def _check_id(call: Call, response: UpstreamResponse, body: bytes) -> None:
-    """Refuse the answer of another request.
+    """Reject an answer that belongs to another request.
 
-    Guards against an endpoint or a path between that crosses answers. The caller would see someone
-    else's text. The endpoint repeats the id that it was given, and ids are random.
+    The endpoint or something on the path may mix up answers, and the caller would then receive the
+    text of another caller. Endpoints echo the request id, and ids are random.
     """
     for name, value in response.headers:
         if name.lower() == REQUEST_ID_HEADER and value.decode("latin-1") != call.request_id:
-            raise RequestError(Code.ANSWER_MIXED, "the answer's header names another request")
+            raise RequestError(Code.ANSWER_MIXED, "request id header of the answer does not match")
     if response.status != OK_STATUS or not isinstance(call.target, ModelTarget):
         return
     try:
         found = msgspec.json.decode(body, type=_AnswerId).id
     except (msgspec.DecodeError, RecursionError) as exc:
-        raise RequestError(Code.ENDPOINT_ERROR, "the model's answer is no JSON") from exc
+        raise RequestError(Code.ENDPOINT_ERROR, "answer of the model is not valid JSON") from exc
     if call.request_id not in found:
-        raise RequestError(Code.ANSWER_MIXED, "the answer's id names another request")
+        raise RequestError(Code.ANSWER_MIXED, "id in the answer's body does not match the request")
--- a/carawayhub/entry/runonce.py
+++ b/carawayhub/entry/runonce.py
@@ -1,8 +1,8 @@
-"""Requests that may run at most once, on their way to the one agent that may run them.
+"""Sends requests that may run at most once to the one agent that may run them.
 
-The entry decides nothing about running: a ticket names the agent, and the home of an idempotency
-key follows from the configuration alone. Sending a request again to that agent is safe, since its
-ledger runs it once. No other agent is ever tried.
+The entry does not choose the agent: a ticket names it, and the home of an idempotency key follows
+from the configuration alone. Resending a request to that agent is safe, since the agent's ledger
+runs it only once. No other agent is ever tried.
 """
 
 import random
@@ -32,45 +32,45 @@
 from carawayhub.peers.messages import EndpointReport, RunReply, RunRequest
 from carawayhub.peers.methods import RUN
 
-SENDS = 3
-RESEND_PAUSE = 0.1
-RETRY_AFTER = 1.0
-REPLY_MARGIN = 0.5
+MAX_SENDS = 3
+MAX_RESEND_DELAY_SECONDS = 0.1
+RETRY_AFTER_SECONDS = 1.0
+REPLY_MARGIN_SECONDS = 0.5
 REPLAYED_HEADER = b"carawayhub-replayed"
 _DROPPED_HEADERS = HOP_BY_HOP_HEADERS | {b"authorization", b"content-length", TICKET_HEADER}
 
 
 class TicketBody(msgspec.Struct, forbid_unknown_fields=True):
-    """What a caller wants a ticket for: one service or one model."""
+    """The body of a ticket request, which names either a service or a model."""
 
     service: str = ""
     model: str = ""
 
 
 class TicketReply(msgspec.Struct):
-    """A ticket, to be sent in the header ``carawayhub-ticket`` of one request."""
+    """A ticket, which the caller sends in the ``carawayhub-ticket`` header of one request."""
 
     ticket: str
 
 
 class LedgerError(RequestError):
-    """A refusal by the agent whose ledger knows every attempt of the key or ticket."""
+    """An error from the agent whose ledger records every attempt of the key or ticket."""
 
     __slots__ = ()
 
     def unvouched(self) -> RequestError:
-        """Return the same error: what a ledger says of a run holds for all attempts."""
+        """Return the same error, since the outcome in a ledger is valid for all attempts."""
         return self
 
 
 @dataclass(frozen=True, slots=True)
-class _Place:
-    """Where a request may run.
+class _Destination:
+    """The endpoint and agent that may run a request.
 
     Attributes:
         endpoint: Name of the endpoint.
-        address: Where its agent takes calls.
-        stamp: The agent's ticket epoch as last heard.
+        address: Address at which its agent accepts calls.
+        stamp: The agent's ticket epoch as last received.
     """
 
     endpoint: str
@@ -83,11 +83,11 @@
 
     Args:
         clock: Source of time.
-        rng: Chooses endpoints for tickets.
-        reports: What agents last reported.
+        rng: Source of randomness for the choice of endpoints and for jitter.
+        reports: Latest reports of the agents.
         office: Issues and reads tickets.
         client: Calls agents.
-        ends: Knows under which requests endpoints ended.
+        ends: Detects endpoints that ended while they ran a call.
     """
 
     __slots__ = (
@@ -122,52 +122,54 @@
         self._sets: dict[str, KeySet] = {}
 
     def configure(self, cfg: Configuration) -> None:
-        """Take a configuration into force."""
+        """Apply a configuration."""
         self._cfg = cfg
         self._sets = self._key_sets.of(cfg)
         self._reports.configure(cfg)
 
     def issue(self, cfg: Configuration, organisation: Organisation, body: bytes) -> Reply:
-        """Return the reply with a new ticket.
+        """Issue a ticket and return the reply that carries it.
 
         Raises:
-            RequestError: BODY_MALFORMED, NOT_SERVED, or NO_ENDPOINT where no agent is known to
-                serve now.
+            RequestError: BODY_MALFORMED, NOT_SERVED, NOT_ALLOWED, or NO_ENDPOINT if no agent is
+                known to be serving at present.
         """
         try:
-            wanted = msgspec.json.decode(body, type=TicketBody)
+            requested = msgspec.json.decode(body, type=TicketBody)
         except msgspec.DecodeError as exc:
             raise RequestError(Code.BODY_MALFORMED, str(exc)) from exc
-        if bool(wanted.service) == bool(wanted.model):
-            raise RequestError(Code.BODY_MALFORMED, "name either a service or a model")
-        if wanted.service:
-            if wanted.service in cfg.services:
-                check_allowed(cfg.services[wanted.service], organisation.name)
-            scope, name = service_scope(wanted.service), wanted.service
+        if bool(requested.service) == bool(requested.model):
+            raise RequestError(
+                Code.BODY_MALFORMED, "exactly one of 'service' and 'model' is required"
+            )
+        if requested.service:
+            if requested.service in cfg.services:
+                check_allowed(cfg.services[requested.service], organisation.name)
+            scope, name = service_scope(requested.service), requested.service
         else:
-            scope, name = model_scope(wanted.model), wanted.model
-        report = self._least_loaded(self._may_run(scope, name, organisation))
+            scope, name = model_scope(requested.model), requested.model
+        report = self._least_loaded(self._serving_reports(scope, name, organisation))
         ticket = self._office.issue(
             scope, organisation.name, report.endpoint, report.incarnation, report.ticket_epoch
         )
         return json_reply(TicketReply(ticket))
 
     async def run(self, call: Call, answer: Answer) -> None:
-        """Answer a call with what its one run gave.
+        """Answer a call with the result of its single run.
 
         Raises:
-            RequestError: It has no answer; the code says whether it may have run.
+            RequestError: The call has no answer; the code tells whether it may have run.
         """
         fingerprint = call.fingerprint
         self._ends.endings.check(fingerprint)
-        place = self._by_ticket(call) if call.ticket else self._by_key(call)
+        destination = self._by_ticket(call) if call.ticket else self._by_key(call)
         answer.dispatched()
         sent_at = self._clock.monotonic()
-        reply = await self._send(call, place)
+        reply = await self._send(call, destination)
         if reply.code == Code.ANSWER_CUT and not reply.replayed:
-            # A caller that repeats such a call under new keys would end one endpoint after the
-            # other: the ledger knows keys, and not what they ask.
-            await self._has_ended(call, fingerprint, place, sent_at)
+            # The ledger identifies requests by key and not by content. A caller that repeats a
+            # poison request under new keys would otherwise end one endpoint after the other.
+            await self._has_ended(call, fingerprint, destination, sent_at)
         if reply.code == Code.OK and not reply.replayed:
             self._ends.endings.answered(fingerprint)
         if reply.code != Code.OK:
@@ -178,13 +180,15 @@
         await answer.whole(reply.status, headers, reply.body, Code.OK)
 
     async def _has_ended(
-        self, call: Call, fingerprint: bytes, place: _Place, sent_at: float
+        self, call: Call, fingerprint: bytes, destination: _Destination, sent_at: float
     ) -> None:
-        found = None if self._cfg is None else self._cfg.endpoints.get(place.endpoint)
+        found = None if self._cfg is None else self._cfg.endpoints.get(destination.endpoint)
         if found is not None:
             await self._ends.has_ended(call, fingerprint, found, sent_at)
 
-    def _may_run(self, scope: str, name: str, organisation: Organisation) -> list[EndpointReport]:
+    def _serving_reports(
+        self, scope: str, name: str, organisation: Organisation
+    ) -> list[EndpointReport]:
         keyset = self._sets.get(scope)
         if keyset is None:
             raise RequestError(Code.NOT_SERVED, name)
@@ -192,21 +196,21 @@
         if not allowed:
             raise RequestError(Code.NOT_ALLOWED, name)
         now = self._clock.monotonic()
-        heard = [self._reports.serving(seat.member.endpoint, now) for seat in allowed]
-        found = [report for report in heard if report is not None]
+        received = [self._reports.serving(seat.member.endpoint, now) for seat in allowed]
+        found = [report for report in received if report is not None]
         if not found:
-            raise RequestError(Code.NO_ENDPOINT, name, retry_after=RETRY_AFTER)
+            raise RequestError(Code.NO_ENDPOINT, name, retry_after=RETRY_AFTER_SECONDS)
         return found
 
     def _least_loaded(self, reports: list[EndpointReport]) -> EndpointReport:
         pair = self._rng.sample(reports, min(2, len(reports)))
         return min(pair, key=lambda report: (report.running + report.queued) / report.capacity)
 
-    def _by_ticket(self, call: Call) -> _Place:
+    def _by_ticket(self, call: Call) -> _Destination:
         ticket = self._office.read_for(call.ticket, _scope(call), call.organisation.name)
-        return self._place(ticket.endpoint)
+        return self._destination(ticket.endpoint)
 
-    def _by_key(self, call: Call) -> _Place:
+    def _by_key(self, call: Call) -> _Destination:
         scope = _scope(call)
         keyset = self._sets.get(scope)
         if keyset is None:
@@ -214,43 +218,48 @@
         home = keyset.home(RunKey(scope, call.organisation.name, call.key))
         if home is None:
             raise RequestError(Code.NOT_ALLOWED, call.target.name)
-        return self._place(home.endpoint)
+        return self._destination(home.endpoint)
 
-    def _place(self, endpoint: str) -> _Place:
-        """Return where an endpoint's agent is.
+    def _destination(self, endpoint: str) -> _Destination:
+        """Return the destination for an endpoint.
 
-        An agent that cannot be found says nothing of a try that was made earlier through another
-        entry, so the outcome is unknown and not "not run".
+        If its agent is not known here, the request may still have run earlier through another
+        entry, so the outcome is "unknown" and not "not run".
         """
         found = None if self._cfg is None else self._cfg.endpoints.get(endpoint)
         report = self._reports.latest(endpoint)
         if found is None or report is None:
-            raise RequestError(Code.RUN_HOME_UNREACHABLE, endpoint, retry_after=RETRY_AFTER)
-        return _Place(endpoint, Address.parse(found.agent), report.ticket_epoch)
+            raise RequestError(Code.RUN_HOME_UNREACHABLE, endpoint, retry_after=RETRY_AFTER_SECONDS)
+        return _Destination(endpoint, Address.parse(found.agent), report.ticket_epoch)
 
-    async def _send(self, call: Call, place: _Place) -> RunReply:
+    async def _send(self, call: Call, destination: _Destination) -> RunReply:
         failure = RequestError(Code.DEADLINE_PASSED)
-        for attempt in range(SENDS):
-            left = call.deadline - self._clock.monotonic()
-            if left <= 0:
+        for attempt in range(MAX_SENDS):
+            remaining = call.deadline - self._clock.monotonic()
+            if remaining <= 0:
                 raise failure
             try:
                 reply: RunReply = await self._client.call(
-                    place.address, RUN, self._request(call, place, left), left + REPLY_MARGIN
+                    destination.address,
+                    RUN,
+                    self._request(call, destination, remaining),
+                    remaining + REPLY_MARGIN_SECONDS,
                 )
             except PeerError as exc:
-                logger.bind(request=call.request_id, endpoint=place.endpoint).info(
-                    "run-once request lost, attempt {}: {}", attempt + 1, exc
+                logger.bind(request=call.request_id, endpoint=destination.endpoint).info(
+                    "run-once call to the agent failed, attempt {}: {}", attempt + 1, exc
                 )
-                failure = _lost(exc)
-                await anyio.sleep(self._rng.uniform(0, RESEND_PAUSE))
+                failure = _reply_lost(exc)
+                await anyio.sleep(self._rng.uniform(0, MAX_RESEND_DELAY_SECONDS))
                 continue
             if reply.request_id != call.request_id:
-                raise RequestError(Code.ANSWER_MIXED, "the agent's reply names another request")
+                raise RequestError(
+                    Code.ANSWER_MIXED, "request id in the agent's reply does not match"
+                )
             return reply
         raise failure
 
-    def _request(self, call: Call, place: _Place, left: float) -> RunRequest:
+    def _request(self, call: Call, destination: _Destination, remaining: float) -> RunRequest:
         assert self._cfg is not None
         return RunRequest(
             request_id=call.request_id,
@@ -259,13 +268,13 @@
             key="" if call.ticket else call.key,
             ticket=call.ticket,
             version=self._cfg.version,
-            stamp=place.stamp,
+            stamp=destination.stamp,
             method=call.method,
             path=call.path,
             headers=as_text(without(call.headers, _DROPPED_HEADERS)),
             body=call.body,
-            remaining=left,
-            deadline=self._reports.on_agents_clock(place.endpoint, call.deadline),
+            remaining=remaining,
+            deadline=self._reports.on_agents_clock(destination.endpoint, call.deadline),
         )
 
 
@@ -277,9 +286,9 @@
             return service_scope(service.name)
 
 
-def _lost(exc: PeerError) -> RequestError:
-    """Return what is known when no reply came: nothing, not even where nothing was sent now.
+def _reply_lost(exc: PeerError) -> RequestError:
+    """Return the error for a lost reply, whose outcome is unknown even if nothing was sent.
 
-    The caller may have sent the same key or ticket before, through this entry or another.
+    The caller may have sent the same key or ticket earlier, through this entry or another one.
     """
-    return RequestError(Code.RUN_REPLY_LOST, str(exc), retry_after=RETRY_AFTER)
+    return RequestError(Code.RUN_REPLY_LOST, str(exc), retry_after=RETRY_AFTER_SECONDS)
--- a/tests/unguarded.py
+++ b/tests/unguarded.py
@@ -207,7 +207,7 @@
     def any_near(self: Any, call: Any) -> Any:
         seats = self._sets[_scope(call)].seats
         heard = [seat for seat in seats if self._reports.latest(seat.member.endpoint)]
-        return self._place(heard[0].member.endpoint)
+        return self._destination(heard[0].member.endpoint)
 
     replace(RunOnce, "_by_key", any_near)
     replace(Fence, "admit", lambda self, key: None)
