--- a/benchmarks/capacity_counts.py
+++ b/benchmarks/capacity_counts.py
@@ -4,7 +4,7 @@
 from statistics import fmean
 
 from carawayhub.config.model import FleetOptions
-from carawayhub.entry.process import FULL_MESH
+from carawayhub.entry.process import MAX_FULL_MESH_ENTRIES
 from carawayhub.fleet.linkplan import AgentNode, plan
 from carawayhub.fleet.neighbours import Node, gossip_neighbours
 from carawayhub.fleet.pace import heartbeat_interval, permit_bound
@@ -124,6 +124,6 @@
 def _entry_peers(own: Node, places: list[Node], cells: Cells) -> set[str]:
     """Return the entries that one opens links to, as ``carawayhub.entry.process`` has it."""
     sharing = set(cells.neighbours(own.name))
-    if len(places) <= FULL_MESH:
+    if len(places) <= MAX_FULL_MESH_ENTRIES:
         return {place.name for place in places} - {own.name}
     return sharing | set(gossip_neighbours(own.name, places))
--- a/benchmarks/capacity_model.py
+++ b/benchmarks/capacity_model.py
@@ -13,7 +13,7 @@
 from carawayhub.agent.reporter import POLL_INTERVAL
 from carawayhub.config.model import FleetOptions
 from carawayhub.endpoints.watch import EngineWatch
-from carawayhub.entry.process import FULL_MESH
+from carawayhub.entry.process import MAX_FULL_MESH_ENTRIES
 from carawayhub.fleet.watchers import WATCHERS_PER_FAILURE_DOMAIN
 from carawayhub.groups.decider import DeciderOptions
 from carawayhub.process.member import EVALUATE_INTERVAL
@@ -71,7 +71,7 @@
 def terms(size: Size, slopes: Slopes) -> list[Term]:
     """Return all terms of all roles; a role that is another with more repeats only the more."""
     found = counts(size)
-    full = size.entries > FULL_MESH
+    full = size.entries > MAX_FULL_MESH_ENTRIES
     return [
         *_entry_terms(size, found, slopes, full),
         *_watcher_terms(size, slopes),
--- a/carawayhub/entry/__init__.py
+++ b/carawayhub/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry process: callers' requests are admitted, routed and relayed here."""
+"""The entry process, which admits, routes and relays callers' requests."""
--- a/carawayhub/entry/answer.py
+++ b/carawayhub/entry/answer.py
@@ -1,4 +1,4 @@
-"""The answer of one request as the caller receives it."""
+"""Sends the answer of a request to its caller."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 
 
 class Answer:
-    """Sends one answer and keeps track of how far it got.
+    """Sends one answer and tracks its progress.
 
     Args:
         send: The ASGI channel to the caller.
@@ -19,12 +19,12 @@
         clock: Source of time.
 
     Attributes:
-        started: Whether the caller has seen the first byte; from then on nothing can be retried.
-        first_byte_at: Clock reading at that moment.
-        last_part_at: Clock reading when the latest part went out.
-        dispatched_at: Clock reading when the request first went to an endpoint or agent, None
-            before.
-        ended: Whether its explicit end was handed over.
+        started: Whether the first byte was sent; after that the request cannot be retried.
+        first_byte_at: Timestamp of the first byte.
+        last_part_at: Timestamp of the latest part.
+        dispatched_at: Timestamp at which the request was first sent to an endpoint or agent, None
+            before that.
+        ended: Whether the end of the answer was passed to the ASGI server.
         on_start: Called at the first byte.
     """
 
@@ -52,12 +52,12 @@
         self.ended = False
 
     def dispatched(self) -> None:
-        """Note that the request goes to an endpoint or agent; only the first time counts."""
+        """Record when the request is first sent to an endpoint or agent."""
         if self.dispatched_at is None:
             self.dispatched_at = self._clock.monotonic()
 
     async def start(self, status: int, headers: list[tuple[bytes, bytes]], code: Code) -> None:
-        """Send the head of a streamed answer."""
+        """Send the status and headers of a streamed answer."""
         self._begin()
         await self._send(
             {
@@ -77,10 +77,10 @@
         self.ended = True
         await self._send({"type": "http.response.body", "body": b""})
 
-    async def whole(
+    async def complete(
         self, status: int, headers: list[tuple[bytes, bytes]], body: bytes, code: Code
     ) -> None:
-        """Send a whole answer with its length."""
+        """Send a complete answer with its content length."""
         self._begin()
         length = (b"content-length", b"%d" % len(body))
         self.ended = True
--- a/carawayhub/entry/app.py
+++ b/carawayhub/entry/app.py
@@ -31,13 +31,13 @@
 ENTRIES_PATH = "/v1/entries"
 TICKETS_PATH = "/v1/tickets"
 MODELS_PATH = "/v1/models"
-STOPPING_RETRY_AFTER = 0.5
-CONFIRM_WAIT = 1.0
-DOUBT_SECONDS = 5.0
-LONGEST_NAME = 100
+RETRY_SOON_SECONDS = 0.5
+CONFIRM_WAIT_SECONDS = 1.0
+UNVERIFIED_SECONDS = 5.0
+MAX_NAME_CHARS = 100
 
 
-class AnswerBrokenOff(Exception):  # noqa: N818 - not an error of this process
+class AnswerAborted(Exception):  # noqa: N818 - not an error of this process
     """Makes ``uvicorn`` close the caller's connection in the middle of an answer.
 
     An answer that cannot be completed must not look whole. Closing before the last chunk is what
@@ -61,7 +61,7 @@
     directory: EntryDirectory
     metrics: Metrics
     ready: Callable[[], bool]
-    doubted: Callable[[], bool]
+    unverified: Callable[[], bool]
     confirmed: Callable[[float], Awaitable[bool]]
 
 
@@ -79,7 +79,7 @@
         self._by_key: dict[str, Organisation] = {}
         self._model_names: frozenset[str] = frozenset()
         self.accepting = True
-        self._doubt_until = 0.0
+        self._unverified_until = 0.0
         self.running = 0
 
     def configure(self, cfg: Configuration) -> None:
@@ -109,12 +109,12 @@
                 await self._handle(req)
             except RequestError as exc:
                 req.code = exc.code
-                await _refuse(req, exc.unvouched() if req.runs_once else exc)
-            except AnswerBrokenOff:
+                await _reject(req, exc.unvouched() if req.runs_once else exc)
+            except AnswerAborted:
                 raise
             except Exception as exc:  # a fault of the entry, see ``_own_fault``
                 req.code = Code.ENTRY_FAILED
-                await _refuse(req, _own_fault(exc))
+                await _reject(req, _internal_error(exc))
             finally:
                 self._parts.metrics.ended(req.organisation, int(req.code))
 
@@ -122,28 +122,28 @@
         if req.scope["http_version"] == "1.0":
             raise RequestError(Code.HTTP_VERSION)
         cfg = self._ready_configuration()
-        if req.asks("GET", ENTRIES_PATH):
+        if req.matches("GET", ENTRIES_PATH):
             await req.reply(self._entries(req))
             return
         self._note_pause()
-        if not await self._parts.confirmed(CONFIRM_WAIT):
-            raise RequestError(Code.PAUSED, retry_after=STOPPING_RETRY_AFTER)
+        if not await self._parts.confirmed(CONFIRM_WAIT_SECONDS):
+            raise RequestError(Code.PAUSED, retry_after=RETRY_SOON_SECONDS)
         organisation = self._organisation(req)
-        if req.asks("GET", MODELS_PATH):
+        if req.matches("GET", MODELS_PATH):
             await req.reply(models_reply(cfg, organisation))
             return
-        if req.asks("POST", TICKETS_PATH):
+        if req.matches("POST", TICKETS_PATH):
             body = await calls.read_body(req.headers, req.receive)
             await req.reply(self._parts.run_once.issue(cfg, organisation, body))
             return
         call = await self._read_call(req, organisation)
-        if not call.repeatable and self._parts.clock.monotonic() < self._doubt_until:
-            raise RequestError(Code.PAUSED, retry_after=STOPPING_RETRY_AFTER)
+        if not call.repeatable and self._parts.clock.monotonic() < self._unverified_until:
+            raise RequestError(Code.PAUSED, retry_after=RETRY_SOON_SECONDS)
         await self._answer(call, req)
 
     def _ready_configuration(self) -> Configuration:
         if not self.accepting:
-            raise RequestError(Code.ENTRY_STOPPING, retry_after=STOPPING_RETRY_AFTER)
+            raise RequestError(Code.ENTRY_STOPPING, retry_after=RETRY_SOON_SECONDS)
         if self._cfg is None or not self._parts.ready():
             raise RequestError(Code.NOT_READY, retry_after=1.0)
         return self._cfg
@@ -156,8 +156,8 @@
         the second one. The time since the caller sent it cannot be known, so for as long as such
         requests may still come out of the sockets they are answered "unknown".
         """
-        if self._parts.doubted():
-            self._doubt_until = self._parts.clock.monotonic() + DOUBT_SECONDS
+        if self._parts.unverified():
+            self._unverified_until = self._parts.clock.monotonic() + UNVERIFIED_SECONDS
 
     def _entries(self, req: Incoming) -> Reply:
         """Answer which entries to use; a key is not needed, but one that is known helps.
@@ -217,7 +217,7 @@
             return found
         target = calls.model_target(body)
         if target.model not in self._model_names:
-            raise RequestError(Code.NOT_SERVED, target.model[:LONGEST_NAME])
+            raise RequestError(Code.NOT_SERVED, target.model[:MAX_NAME_CHARS])
         return target
 
     async def _answer(self, call: Call, req: Incoming) -> None:
@@ -237,7 +237,7 @@
             # Whatever the code says of the attempt that failed last: a part of the answer is out,
             # so the request did run.
             await answer.part(error_event(exc.unvouched()))
-            raise AnswerBrokenOff(str(exc)) from exc
+            raise AnswerAborted(str(exc)) from exc
         finally:
             # A caller that left before the first byte says nothing against the endpoint, and one
             # that left after it nothing of how long whole answers take.
@@ -266,7 +266,7 @@
             except RequestError as exc:
                 failure = exc
             except Exception as exc:  # a fault of the entry, see ``_own_fault``
-                failure = _own_fault(exc)
+                failure = _internal_error(exc)
             tasks.cancel_scope.cancel()
         if failure is not None:
             raise failure
@@ -285,7 +285,7 @@
         log.debug("request ended")
 
 
-def _own_fault(exc: Exception) -> RequestError:
+def _internal_error(exc: Exception) -> RequestError:
     """Log an error that nothing here foresaw and return what the caller is told.
 
     Left to ``uvicorn`` it would be an answer without a number, and no line of the log would show
@@ -295,7 +295,7 @@
     return RequestError(Code.ENTRY_FAILED, type(exc).__name__)
 
 
-async def _refuse(req: Incoming, exc: RequestError) -> None:
+async def _reject(req: Incoming, exc: RequestError) -> None:
     logger.bind(code=int(exc.code)).info("request refused: {}", exc)
     await send_reply(req.send, error_reply(exc), req.caller_id)
 
--- a/carawayhub/entry/calls.py
+++ b/carawayhub/entry/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request, read and checked."""
+"""Reads and validates callers' requests."""
 
 import math
 import re
@@ -34,7 +34,7 @@
 MODEL_PATHS = frozenset({CHAT_PATH, COMPLETIONS_PATH})
 
 BODY_TIMEOUT_SECONDS = 30.0
-"""Seconds for a whole request; how late an idempotency key may reach its agent builds on it."""
+"""Time limit for reading a body; the longest delay of an idempotency key is derived from it."""
 
 MAX_LENGTH_DIGITS = 20
 MAX_TOKENS = 1_000_000
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelTarget:
-    """A call of a model, which any group that serves it may answer."""
+    """A call of a model, which any group that serves the model may answer."""
 
     model: str
     streamed: bool
@@ -78,17 +78,17 @@
     """One request of a caller.
 
     Attributes:
-        request_id: Unique id of this request within the system; goes to the endpoint and the logs.
-        caller_id: The id the caller gave, or the same as ``request_id``.
-        organisation: Who sends it.
-        target: What it asks for.
+        request_id: Unique id of this request within the system, sent to the endpoint and logged.
+        caller_id: The id that the caller sent, or else ``request_id``.
+        organisation: Organisation of the caller.
+        target: The model or the service that is called.
         method: HTTP method.
         path: Path with query.
-        headers: Lower-case headers as they came.
-        body: The whole body.
-        deadline: Reading of the clock after which nothing more is done.
-        key: Idempotency key, empty for none.
-        ticket: Ticket, empty for none.
+        headers: Headers as received, with lower-case names.
+        body: The complete body.
+        deadline: Clock timestamp after which the call is abandoned.
+        key: Idempotency key, empty if there is none.
+        ticket: Ticket, empty if there is none.
     """
 
     request_id: str
@@ -105,14 +105,14 @@
 
     @property
     def fingerprint(self) -> bytes:
-        """Names what it asks; see ``fingerprint``. Hashes the body."""
+        """Hash of the content of the call, see ``fingerprint``; computed on each access."""
         return fingerprint(self.organisation.name, self.method, "", self.path.encode(), self.body)
 
     @property
     def repeatable(self) -> bool:
         """Whether it may run more than once.
 
-        A caller that sends a key or a ticket wants one run, also of a call that could be repeated.
+        A key or a ticket requests a single run, even of a call that could be repeated.
         """
         if self.key or self.ticket:
             return False
@@ -124,7 +124,7 @@
 
 
 class ModelBody(msgspec.Struct):
-    """The fields of a model call's body that the system reads."""
+    """The fields that are read from the body of a model call."""
 
     model: str
     stream: bool = False
@@ -133,9 +133,9 @@
 
     @property
     def tokens(self) -> int:
-        """Most tokens that the answer may have, 256 where the caller does not say.
+        """Maximum number of tokens of the answer, 256 if the caller does not set it.
 
-        Whether the number is good is for the engine to say; here it only weighs the request.
+        It is only used to weigh the request; the engine validates the number.
         """
         given = self.max_completion_tokens or self.max_tokens or 0
         return min(given, MAX_TOKENS) if given > 0 else DEFAULT_MAX_TOKENS
@@ -143,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Headers:
-    """The headers of a request by lower-case name; of a repeated name the last one counts."""
+    """The headers of a request by lower-case name; the last of repeated headers is used."""
 
     values: dict[bytes, bytes]
 
@@ -153,17 +153,17 @@
         return cls(dict(scope["headers"]))
 
     def text(self, name: bytes) -> str:
-        """Return a header as text, empty where it is missing."""
+        """Return a header as text, empty if it is missing."""
         return self.values.get(name, b"").decode("latin-1").strip()
 
 
 def new_request_id() -> str:
-    """Return a fresh id; it is random, so that entries need not agree on one."""
+    """Return a random id, which is unique without coordination between entries."""
     return secrets.token_hex(10)
 
 
 def caller_id(headers: Headers, request_id: str) -> str:
-    """Return the id that the caller knows its request by."""
+    """Return the caller's own id of the request if it is valid, else ``request_id``."""
     given = headers.text(REQUEST_ID_HEADER)
     return given if _ID_PATTERN.match(given) else request_id
 
@@ -171,47 +171,49 @@
 def deadline(headers: Headers, cfg: Configuration, clock: Clock) -> float:
     """Return the request's deadline on this process's clock.
 
-    The header carries the time that is left in milliseconds: the caller's clock is not ours.
+    The header carries the remaining time in milliseconds, since the caller's clock may differ.
 
     Raises:
-        RequestError: DEADLINE_MALFORMED, or DEADLINE_PASSED where no time is left.
+        RequestError: DEADLINE_MALFORMED, or DEADLINE_PASSED if no time remains.
     """
     text = headers.text(DEADLINE_HEADER)
     if not text:
         return clock.monotonic() + cfg.fleet.request_deadline
     try:
-        remaining = float(text) / 1000
+        left = float(text) / 1000
     except ValueError as exc:
         raise RequestError(Code.DEADLINE_MALFORMED, repr(text)) from exc
-    if not math.isfinite(remaining):
+    if not math.isfinite(left):
         raise RequestError(Code.DEADLINE_MALFORMED, repr(text))
-    if remaining <= 0:
-        raise RequestError(Code.DEADLINE_PASSED, "no time was left when it came")
-    return clock.monotonic() + min(remaining, MAX_DEADLINE_SECONDS)
+    if left <= 0:
+        raise RequestError(Code.DEADLINE_PASSED, "no time remained when the request arrived")
+    return clock.monotonic() + min(left, MAX_DEADLINE_SECONDS)
 
 
 def run_once_key(headers: Headers) -> str:
-    """Return the idempotency key, empty for none.
+    """Return the idempotency key, empty if there is none.
 
     Raises:
-        RequestError: BODY_MALFORMED where the key is too long.
+        RequestError: BODY_MALFORMED if the key is too long.
     """
     key = headers.text(KEY_HEADER)
     if len(key) > MAX_KEY_LENGTH:
-        raise RequestError(Code.BODY_MALFORMED, f"idempotency-key is over {MAX_KEY_LENGTH} long")
+        raise RequestError(
+            Code.BODY_MALFORMED, f"idempotency-key exceeds {MAX_KEY_LENGTH} characters"
+        )
     return key
 
 
 def ticket(headers: Headers) -> str:
-    """Return the ticket, empty for none."""
+    """Return the ticket, empty if there is none."""
     return headers.text(TICKET_HEADER)
 
 
 async def read_body(headers: Headers, receive: Receive) -> bytes:
-    """Return the whole body.
+    """Return the complete body.
 
     Raises:
-        RequestError: BODY_TOO_LARGE, or BODY_MALFORMED where the caller left before its end.
+        RequestError: BODY_TOO_LARGE, or BODY_MALFORMED if the body is incomplete.
     """
     declared = headers.text(b"content-length")
     if declared.isdecimal() and int(declared[:MAX_LENGTH_DIGITS]) > MAX_BODY_BYTES:
@@ -221,7 +223,7 @@
             return await _read_parts(receive)
     except TimeoutError as exc:
         raise RequestError(
-            Code.BODY_MALFORMED, f"not whole after {BODY_TIMEOUT_SECONDS:.0f} s"
+            Code.BODY_MALFORMED, f"incomplete after {BODY_TIMEOUT_SECONDS:.0f} s"
         ) from exc
 
 
@@ -231,7 +233,9 @@
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
-            raise RequestError(Code.BODY_MALFORMED, "the body broke off")
+            raise RequestError(
+                Code.BODY_MALFORMED, "the caller disconnected before the end of the body"
+            )
         parts.append(message.get("body", b""))
         size += len(parts[-1])
         if size > MAX_BODY_BYTES:
@@ -241,10 +245,10 @@
 
 
 def forwarded_path(scope: Scope) -> str:
-    """Return path and query as the caller wrote them, for the endpoint.
+    """Return the path and query for the endpoint, percent-encoded as the caller sent them.
 
-    ``scope["path"]`` has its escapes resolved. Sent on like that, a space or an accent would make
-    a request line that no HTTP library accepts, and an escaped ``?`` would become a query.
+    ``scope["path"]`` is decoded. If it were forwarded, a space or a non-ASCII letter would make the
+    request line invalid, and an encoded ``?`` would start a query.
     """
     path: bytes = scope["raw_path"]
     query: bytes = scope["query_string"]
@@ -252,10 +256,10 @@
 
 
 def forwarded_headers(scope: Scope, target: Target) -> tuple[tuple[bytes, bytes], ...]:
-    """Return the headers as they came, those for an endpoint's answer aside that no entry can read.
+    """Return the headers for the endpoint, without ``accept-encoding`` for model calls.
 
-    The entry checks that each part of a model's answer is the request's own. An engine that
-    compresses for callers who accept it would seem to answer someone else's request, each time.
+    The entry checks that each part of a model's answer carries the request's id. It cannot find the
+    id in a compressed answer and would reject it as that of another request.
     """
     headers: list[tuple[bytes, bytes]] = scope["headers"]
     match target:
@@ -266,10 +270,10 @@
 
 
 def model_target(body: bytes) -> ModelTarget:
-    """Return what a model call asks for.
+    """Return the target of a model call.
 
     Raises:
-        RequestError: BODY_MALFORMED where the body is no JSON or names no model.
+        RequestError: BODY_MALFORMED if the body is not valid JSON or names no model.
     """
     try:
         fields = msgspec.json.decode(body, type=ModelBody)
--- a/carawayhub/entry/ends.py
+++ b/carawayhub/entry/ends.py
@@ -1,4 +1,4 @@
-"""What the entry finds out when an endpoint of the configuration breaks an answer off."""
+"""Detects endpoints of the configuration that ended while they ran a call."""
 
 import random
 from collections.abc import Callable
@@ -9,24 +9,24 @@
 from carawayhub.endpoints.endings import BrokenAnswer, Endings
 from carawayhub.entry.calls import Call
 
-SAME_END_SECONDS = 1.0
-"""Seconds within which ends of one endpoint are one and the same: requests that it had break off
-within milliseconds, and a process takes longer than this to start."""
+SAME_END_WINDOW_SECONDS = 1.0
+"""Interrupted answers of an endpoint within this window count as one end: the answers in flight
+break off within milliseconds, and a process takes longer than this to start."""
 
-KEY_BITS = 32
+LIFETIME_KEY_BITS = 32
 
 
 class EndWatch:
-    """Finds out whether endpoints ended under calls.
+    """Determines whether an endpoint ended while it ran a call.
 
-    Endpoints of the configuration do not tell when they started, so each end that this entry sees
-    names a lifetime of its own.
+    Endpoints of the configuration do not report when they started, so each end that this entry
+    detects gets a random key that identifies the lifetime of the endpoint.
 
     Args:
-        endings: Takes what is found out.
-        is_leaving: Returns whether an endpoint leaves as planned.
+        endings: Checks interrupted answers and records the ends of endpoints.
+        is_leaving: Returns whether an endpoint is leaving as planned.
         clock: Source of time.
-        rng: Draws the keys of lifetimes.
+        rng: Source of the lifetime keys.
     """
 
     __slots__ = ("_clock", "_ends", "_is_leaving", "_rng", "endings")
@@ -47,7 +47,7 @@
     async def has_ended(
         self, call: Call, fingerprint: bytes, endpoint: Endpoint, sent_at: float
     ) -> bool:
-        """Return whether an endpoint ended that broke the answer to a call off."""
+        """Return whether the endpoint that interrupted the answer to a call has ended."""
         return await self.endings.broke_off(
             BrokenAnswer(
                 request=call.request_id,
@@ -64,7 +64,7 @@
     def _lifetime(self, endpoint: str) -> int:
         now = self._clock.monotonic()
         at, key = self._ends.get(endpoint, (float("-inf"), 0))
-        if now - at > SAME_END_SECONDS:
-            key = self._rng.getrandbits(KEY_BITS)
+        if now - at > SAME_END_WINDOW_SECONDS:
+            key = self._rng.getrandbits(LIFETIME_KEY_BITS)
         self._ends[endpoint] = now, key
         return key
--- a/carawayhub/entry/incoming.py
+++ b/carawayhub/entry/incoming.py
@@ -1,4 +1,4 @@
-"""One HTTP request as it came in, until it is answered or refused."""
+"""State of an HTTP request from its arrival until it is answered or rejected."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Incoming:
-    """One HTTP request and what is known of it so far.
+    """One HTTP request and its state.
 
     Attributes:
         scope: The ASGI scope.
@@ -20,9 +20,9 @@
         send: The ASGI channel to the caller.
         request_id: Unique id within the system.
         caller_id: Id by which the caller knows it.
-        arrived_at: Clock reading when its head had come.
-        organisation: Whose request it is, empty before its key was found.
-        code: How it ended; that the caller left, until it ends otherwise.
+        arrived_at: Timestamp at which its head was received.
+        organisation: Organisation of the caller, empty until authenticated.
+        code: Result of the request; CALLER_LEFT until there is another one.
     """
 
     scope: Scope
@@ -37,7 +37,7 @@
 
     @classmethod
     def of(cls, scope: Scope, receive: Receive, send: Send, arrived_at: float) -> "Incoming":
-        """Return the request of an ASGI scope with a fresh id."""
+        """Create the request of an ASGI scope with a new id."""
         headers = Headers.of(scope)
         request_id = calls.new_request_id()
         return cls(
@@ -55,11 +55,11 @@
         """Whether it carries a key or a ticket, so that an earlier attempt may have run."""
         return bool(self.headers.text(KEY_HEADER) or self.headers.text(TICKET_HEADER))
 
-    def asks(self, method: str, path: str) -> bool:
-        """Return whether it is this method on this path."""
+    def matches(self, method: str, path: str) -> bool:
+        """Return whether it has this method and path."""
         return bool(self.scope["method"] == method and self.scope["path"] == path)
 
     async def reply(self, reply: Reply) -> None:
-        """Answer it with a reply of the entry's own."""
+        """Send a reply that the entry generated itself."""
         await send_reply(self.send, reply, self.caller_id)
         self.code = Code.OK
--- a/carawayhub/entry/lists.py
+++ b/carawayhub/entry/lists.py
@@ -1,4 +1,4 @@
-"""What an entry lists for callers: entries to use and models to ask for."""
+"""Replies that list the entries and models available to a caller."""
 
 import msgspec
 
@@ -14,12 +14,12 @@
 
 
 class EntriesBody(msgspec.Struct):
-    """Which entries a caller should use, in order.
+    """The entries that a caller should use, in order of preference.
 
     Attributes:
         entries: The entries.
-        keep_until: Unix time until which the answer may be kept.
-        ttl_s: The same in seconds from now, for callers whose clock is off.
+        keep_until: Unix time until which the answer may be cached.
+        ttl_s: The same in seconds from now, for callers whose clock is wrong.
     """
 
     entries: list[EntryAddress]
@@ -42,13 +42,13 @@
 
 
 def entries_reply(found: EntriesAnswer) -> Reply:
-    """Return the reply that names the entries to use."""
+    """Return the reply that lists the entries to use."""
     addresses = [EntryAddress(address) for address in found.addresses]
     return json_reply(EntriesBody(addresses, found.keep_until, found.ttl))
 
 
 def models_reply(cfg: Configuration, organisation: Organisation) -> Reply:
-    """Return the reply that names the models an organisation may use."""
+    """Return the reply that lists the models an organisation may use."""
     names = {
         group.model
         for group in cfg.groups.values()
--- a/carawayhub/entry/passage.py
+++ b/carawayhub/entry/passage.py
@@ -1,4 +1,4 @@
-"""The parts of one stream on their way from one connection of an endpoint to the caller."""
+"""Forwards a stream from a connection to an endpoint to the caller."""
 
 from carawayhub.clock import Clock
 from carawayhub.codes import Code
@@ -9,19 +9,19 @@
 from carawayhub.output.metrics import Latency, Metrics
 
 
-class Passage:
-    """Checks and sends on together what one read of an endpoint's connection brought.
+class StreamForwarder:
+    """Checks the events of each read of an endpoint's connection and forwards them together.
 
-    Until the caller has taken it nothing more is read, so a slow caller holds little in this
-    process; the rest waits at the endpoint.
+    Nothing more is read until the caller has accepted them, so a slow caller causes backpressure on
+    the endpoint and takes up little memory in this process.
 
     Args:
         call: The call.
-        answer: Towards the caller.
-        check: Follows the stream over all its connections.
-        response: The head of this connection's answer.
+        answer: The answer to the caller.
+        check: Validates the stream across all its connections.
+        response: The response on this connection.
         clock: Source of time.
-        metrics: Takes the time between parts.
+        metrics: Records the time between parts.
     """
 
     __slots__ = ("_answer", "_check", "_clock", "_gaps", "_response")
@@ -42,19 +42,19 @@
         self._gaps = metrics.target_recorder(Latency.BETWEEN_TOKENS, call.target.name)
 
     async def send(self, data: bytes) -> None:
-        """Check what one read brought and send its complete events to the caller.
+        """Check the data of one read and send its complete events to the caller.
 
         Raises:
-            RequestError: ANSWER_MIXED where an event is another request's or out of its place; the
-                events before it have been sent.
+            RequestError: ANSWER_MIXED if an event belongs to another request or is out of order;
+                the events before it have been sent.
         """
         events = self._check.feed(data)
         if events:
-            await self._pass_on(events)
+            await self._forward(events)
         if self._check.fault is not None:
             raise self._check.fault
 
-    async def _pass_on(self, events: bytes) -> None:
+    async def _forward(self, events: bytes) -> None:
         answer = self._answer
         if answer.started:
             self._gaps.record(self._clock.monotonic() - answer.last_part_at)
--- a/carawayhub/entry/process.py
+++ b/carawayhub/entry/process.py
@@ -46,10 +46,10 @@
 from carawayhub.routing.router import Router
 from carawayhub.settings import EntrySettings
 
-DRAIN_POLL = 0.05
+DRAIN_POLL_SECONDS = 0.05
 AWAY_STATES = frozenset({MemberState.SUSPECT, MemberState.LEAVING, MemberState.GONE})
-LARGE_FLEET = 200
-FULL_MESH = 16
+LARGE_FLEET_ENDPOINTS = 200
+MAX_FULL_MESH_ENTRIES = 16
 """Entries up to which each has a link to each other, which limits and answers profit from."""
 
 
@@ -110,7 +110,7 @@
             tasks.start_soon(self._run_member)
             tasks.start_soon(self._tick)
             tasks.start_soon(operators.run)
-            tasks.start_soon(self._stop_in_order, callers, operators)
+            tasks.start_soon(self._shut_down, callers, operators)
             await callers.run()
             await self._upstream.close()
             tasks.cancel_scope.cancel()
@@ -118,7 +118,7 @@
     async def _run_member(self) -> None:
         await self.runtime.member.run(self, self.runtime.peer_socket, ())
 
-    async def _stop_in_order(self, callers: HttpServer, operators: HttpServer) -> None:
+    async def _shut_down(self, callers: HttpServer, operators: HttpServer) -> None:
         """End the process so that no caller notices.
 
         Callers keep the answer to which entries they should use. An entry that closed at once
@@ -137,7 +137,7 @@
         await anyio.sleep(max(0.0, deadline - runtime.clock.monotonic()))
         self._app.accepting = False
         while self._app.running:
-            await anyio.sleep(DRAIN_POLL)
+            await anyio.sleep(DRAIN_POLL_SECONDS)
         runtime.audit.record(
             Subject.PROCESS, runtime.identity.key, "leaving", "stopped", "all requests have ended"
         )
@@ -197,7 +197,7 @@
         key = plan_key(cfg, vms, name)
         if key == self._plan_key:
             return self._agents
-        if len(cfg.endpoints) > LARGE_FLEET:
+        if len(cfg.endpoints) > LARGE_FLEET_ENDPOINTS:
             found = await anyio.to_thread.run_sync(agents_of_entry, cfg, vms, name)
         else:
             found = agents_of_entry(cfg, vms, name)
@@ -332,7 +332,7 @@
 
 def _entry_peers(cfg: Configuration, vms: VmList | None, own: str) -> set[str]:
     """Return the entries to link with: all of a small fleet, chosen neighbours of a large one."""
-    if len(cfg.entries) <= FULL_MESH:
+    if len(cfg.entries) <= MAX_FULL_MESH_ENTRIES:
         return set(cfg.entries) - {own}
     return set(gossip_neighbours(own, entry_nodes(cfg, vms, own)))
 
--- a/carawayhub/entry/prompts.py
+++ b/carawayhub/entry/prompts.py
@@ -1,9 +1,9 @@
-"""The prefix blocks of a prompt, hashed as engines number the blocks of their caches.
+"""Hashes the prefix blocks of a prompt in the way engines identify their cache blocks.
 
-The published form: the prompt's text in blocks of 64 characters, messages written as ``role: text``
-and joined by line ends; each block's hash is BLAKE2b (8 bytes) over the hash before it and the
-block, so that a hash stands for all of the text up to its end. An engine with another form needs
-another function here and nothing else.
+The prompt's text is split into blocks of 64 characters; messages are written as ``role: text`` and
+joined by newlines. Each block's hash is BLAKE2b (8 bytes) over the previous hash and the block, so
+that it identifies all of the text up to its end. To support an engine that uses another format,
+only this module has to change.
 """
 
 import hashlib
@@ -28,7 +28,8 @@
 def prompt_blocks(body: bytes) -> tuple[int, ...]:
     """Return the hashes of the leading full blocks of a model call's prompt, at most 64.
 
-    A prompt that is no plain text, for example one with images, has none.
+    The text ends before the first message that is not plain text, for example one with images. A
+    ``prompt`` that is not a string has no blocks.
     """
     try:
         fields = msgspec.json.decode(body, type=_Prompt)
--- a/carawayhub/entry/relay.py
+++ b/carawayhub/entry/relay.py
@@ -29,7 +29,7 @@
 from carawayhub.entry.answer import Answer
 from carawayhub.entry.calls import Call, ModelTarget, ServiceTarget
 from carawayhub.entry.ends import EndWatch
-from carawayhub.entry.passage import Passage
+from carawayhub.entry.passage import StreamForwarder
 from carawayhub.entry.prompts import prompt_blocks
 from carawayhub.entry.stream import StreamCheck
 from carawayhub.errors import RequestError
@@ -203,12 +203,12 @@
         await anyio.sleep(max(0.0, decision.at - self._clock.monotonic()))
 
     async def _attempt(self, call: Call, answer: Answer, endpoint: str, fingerprint: bytes) -> None:
-        remaining = call.deadline - self._clock.monotonic()
-        if remaining <= 0:
+        left = call.deadline - self._clock.monotonic()
+        if left <= 0:
             raise RequestError(Code.DEADLINE_PASSED)
         # A dead connection can only be detected by a timeout. Waiting at most half of the
         # remaining time leaves the other half for an attempt at another endpoint.
-        wait = max(remaining / 2, MIN_WAIT_SECONDS)
+        wait = max(left / 2, MIN_WAIT_SECONDS)
         attempt = _Attempt(
             endpoint,
             UpstreamTimeouts.waiting(wait),
@@ -218,7 +218,7 @@
         )
         ok = False
         try:
-            with anyio.fail_after(remaining):
+            with anyio.fail_after(left):
                 await self._exchange(call, answer, attempt)
             ok = True
         except TimeoutError as exc:
@@ -289,11 +289,11 @@
     ) -> None:
         assert self._cfg is not None
         fleet = self._cfg.fleet
-        passage = Passage(call, answer, check, response, self._clock, self._metrics)
+        forwarder = StreamForwarder(call, answer, check, response, self._clock, self._metrics)
         body = response.stream_body(fleet.stream_stall, fleet.join_window)
         while data := await body.read():
             self._router.progress(attempt.token)
-            await passage.send(data)
+            await forwarder.send(data)
         if not check.ended:
             # The connection was closed normally but without the explicit end of the stream. If
             # the answer ended here, the caller would take a truncated answer for a complete one.
@@ -308,7 +308,7 @@
             raise RequestError(
                 Code.ENDPOINT_ERROR, f"status {response.status}: {body[:200].decode('latin-1')}"
             )
-        await answer.whole(response.status, list(response.headers), body, Code.OK)
+        await answer.complete(response.status, list(response.headers), body, Code.OK)
 
     def _request(
         self, call: Call, answer: Answer, attempt: _Attempt, offset: int
@@ -317,12 +317,12 @@
         endpoint = self._cfg.endpoints.get(attempt.endpoint)
         if endpoint is None:
             raise RequestError(Code.ENDPOINT_LEAVING, attempt.endpoint)
-        remaining = max(call.deadline - self._clock.monotonic(), 0.0)
+        left = max(call.deadline - self._clock.monotonic(), 0.0)
         headers = [each for each in call.headers if each[0] not in DROPPED_HEADERS]
         headers.append((b"host", endpoint.url.split("//", 1)[-1].encode()))
         headers.append((b"content-length", b"%d" % len(call.body)))
         headers.append((REQUEST_ID_HEADER, call.request_id.encode()))
-        headers.append((DEADLINE_HEADER, b"%d" % (remaining * 1000)))
+        headers.append((DEADLINE_HEADER, b"%d" % (left * 1000)))
         headers.append((PRIORITY_HEADER, b"%d" % call.organisation.priority))
         if isinstance(call.target, ServiceTarget):
             headers.append(ONE_REQUEST)
--- a/carawayhub/entry/replies.py
+++ b/carawayhub/entry/replies.py
@@ -1,4 +1,4 @@
-"""Whole replies towards callers: the system's own JSON answers and its numbered refusals."""
+"""Replies of the entry itself: JSON answers and errors with their codes."""
 
 import math
 from dataclasses import dataclass
@@ -13,15 +13,15 @@
 
 
 class ErrorBody(msgspec.Struct, kw_only=True):
-    """What a caller reads of a request that has no answer.
+    """The error that a caller receives in place of an answer.
 
     Attributes:
-        code: The numbered result.
-        name: Its name.
+        code: Number of the error code.
+        name: Name of the error code.
         outcome: ``not_run`` or ``unknown``.
         message: What happened.
         action: What to do next.
-        retry_after_s: Seconds after which asking again is sensible, null where it is not.
+        retry_after_s: Seconds after which to retry, null if a retry is not advised.
     """
 
     code: int
@@ -33,14 +33,14 @@
 
 
 class ErrorReply(msgspec.Struct):
-    """The JSON object around an ``ErrorBody``."""
+    """The JSON object that contains an ``ErrorBody``."""
 
     error: ErrorBody
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole HTTP reply."""
+    """A complete HTTP reply."""
 
     status: int
     body: bytes
@@ -53,7 +53,7 @@
 
 
 def error_reply(exc: CarawayhubError) -> Reply:
-    """Return the reply that tells a caller why there is no answer."""
+    """Return the reply that reports an error to a caller."""
     known = exc.meaning
     body = ErrorBody(
         code=int(exc.code),
@@ -70,12 +70,12 @@
 
 
 def error_event(exc: CarawayhubError) -> bytes:
-    """Return the server-sent event that comes before a stream is cut off on purpose."""
+    """Return the server-sent event that precedes the abort of a stream."""
     return b"event: error\ndata: " + error_reply(exc).body + b"\n\n"
 
 
 async def send_reply(send: Send, reply: Reply, caller_id: str) -> None:
-    """Send a whole reply."""
+    """Send a complete reply."""
     headers = [*reply.headers, (b"content-length", b"%d" % len(reply.body))]
     if caller_id:
         headers.append((REQUEST_ID_HEADER, caller_id.encode()))
--- a/carawayhub/entry/reports.py
+++ b/carawayhub/entry/reports.py
@@ -1,4 +1,4 @@
-"""What agents last reported, for choices that are not the router's."""
+"""Latest reports of the agents, for decisions made outside the router."""
 
 from dataclasses import dataclass
 from math import inf
@@ -9,13 +9,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeardReport:
-    """A report and what it means on this process's clock.
+class ReceivedReport:
+    """A report with its times on this process's clock.
 
     Attributes:
         report: The report.
-        permit_until: Clock reading until which its permit lasts.
-        heard_at: Clock reading when it came.
+        permit_until: Timestamp at which its permit expires.
+        heard_at: Timestamp at which it was received.
     """
 
     report: EndpointReport
@@ -26,49 +26,48 @@
 class Reports:
     """The latest report of each endpoint's agent."""
 
-    __slots__ = ("_heard", "_leaders")
+    __slots__ = ("_received", "_leaders")
 
     def __init__(self) -> None:
-        self._heard: dict[str, HeardReport] = {}
+        self._received: dict[str, ReceivedReport] = {}
         self._leaders: dict[str, str] = {}
 
     def configure(self, cfg: Configuration) -> None:
-        """Take a configuration into force."""
+        """Apply a configuration."""
         self._leaders = group_leaders(cfg)
 
     def observe(self, report: EndpointReport, asked_at: float, heard_at: float) -> None:
-        """Take a report that came at ``heard_at`` and answers a heartbeat sent at ``asked_at``."""
+        """Store a report received at ``heard_at`` in reply to a heartbeat sent at ``asked_at``."""
         permit_until = asked_at + report.permit
-        self._heard[report.endpoint] = HeardReport(report, permit_until, heard_at)
+        self._received[report.endpoint] = ReceivedReport(report, permit_until, heard_at)
 
     def lost(self, endpoint: str) -> None:
-        """Drop what is known: the agent cannot be reached."""
-        self._heard.pop(endpoint, None)
+        """Discard the report of an agent that cannot be reached."""
+        self._received.pop(endpoint, None)
 
     def latest(self, endpoint: str) -> EndpointReport | None:
-        """Return the latest report, None where the agent was not heard since it was lost."""
-        heard = self._heard.get(endpoint)
-        return None if heard is None else heard.report
+        """Return the latest report, None if there is none since the agent was lost."""
+        received = self._received.get(endpoint)
+        return None if received is None else received.report
 
     def on_agents_clock(self, endpoint: str, reading: float) -> float:
-        """Return what the agent's clock has reached by the time this process's reads ``reading``.
+        """Convert the timestamp ``reading`` of this process's clock to the agent's clock.
 
-        Guards against a request that is long on its way: told only how much time was left when it
-        was sent, the agent would begin it past its caller's deadline. The agent's clock read
-        ``report.reading`` some time before the report came, so the sum falls short of the truth by
-        the time the report took, and a deadline given so is never too late.
+        With only the remaining time at sending, an agent would start a delayed request after the
+        caller's deadline. ``report.reading`` was taken before the report arrived, so the result is
+        too early by the transit time of the report, and a converted deadline is never too late.
         """
-        heard = self._heard.get(endpoint)
-        return inf if heard is None else heard.report.reading + reading - heard.heard_at
+        received = self._received.get(endpoint)
+        return inf if received is None else received.report.reading + reading - received.heard_at
 
     def serving(self, endpoint: str, now: float) -> EndpointReport | None:
-        """Return the latest report if it lets new work go to the endpoint at ``now``."""
-        heard = self._heard.get(endpoint)
-        if heard is None or heard.permit_until <= now:
+        """Return the latest report if it permits new work at the endpoint at ``now``."""
+        received = self._received.get(endpoint)
+        if received is None or received.permit_until <= now:
             return None
-        # A group that cannot step is known to the agent beside its rank 0 alone; the others say
-        # that they serve, and a ticket of theirs would wait for steps that are not made.
-        leader = self._heard.get(self._leaders.get(endpoint, ""))
+        # Only the agent of rank 0 detects that its group cannot step. The other agents still report
+        # that they serve, and a run with a ticket for one of them would wait for steps in vain.
+        leader = self._received.get(self._leaders.get(endpoint, ""))
         if leader is not None and leader.report.state is ServingState.FAILED:
             return None
-        return heard.report if heard.report.state is ServingState.SERVING else None
+        return received.report if received.report.state is ServingState.SERVING else None
--- a/carawayhub/entry/runonce.py
+++ b/carawayhub/entry/runonce.py
@@ -177,7 +177,7 @@
         headers = as_bytes(reply.headers)
         if reply.replayed:
             headers.append((REPLAYED_HEADER, b"1"))
-        await answer.whole(reply.status, headers, reply.body, Code.OK)
+        await answer.complete(reply.status, headers, reply.body, Code.OK)
 
     async def _has_ended(
         self, call: Call, fingerprint: bytes, destination: _Destination, sent_at: float
@@ -235,15 +235,15 @@
     async def _send(self, call: Call, destination: _Destination) -> RunReply:
         failure = RequestError(Code.DEADLINE_PASSED)
         for attempt in range(MAX_SENDS):
-            remaining = call.deadline - self._clock.monotonic()
-            if remaining <= 0:
+            left = call.deadline - self._clock.monotonic()
+            if left <= 0:
                 raise failure
             try:
                 reply: RunReply = await self._client.call(
                     destination.address,
                     RUN,
-                    self._request(call, destination, remaining),
-                    remaining + REPLY_MARGIN_SECONDS,
+                    self._request(call, destination, left),
+                    left + REPLY_MARGIN_SECONDS,
                 )
             except PeerError as exc:
                 logger.bind(request=call.request_id, endpoint=destination.endpoint).info(
@@ -259,7 +259,7 @@
             return reply
         raise failure
 
-    def _request(self, call: Call, destination: _Destination, remaining: float) -> RunRequest:
+    def _request(self, call: Call, destination: _Destination, left: float) -> RunRequest:
         assert self._cfg is not None
         return RunRequest(
             request_id=call.request_id,
@@ -273,7 +273,7 @@
             path=call.path,
             headers=as_text(without(call.headers, _DROPPED_HEADERS)),
             body=call.body,
-            remaining=remaining,
+            remaining=left,
             deadline=self._reports.on_agents_clock(destination.endpoint, call.deadline),
         )
 
--- a/carawayhub/entry/services.py
+++ b/carawayhub/entry/services.py
@@ -1,4 +1,4 @@
-"""Which plain service a call is for, by method and path, and who may use it."""
+"""Matches calls to plain services by method and path, and checks who may use them."""
 
 from carawayhub.codes import Code
 from carawayhub.config.model import Configuration, Service, ServiceRoute
@@ -9,15 +9,15 @@
 
 
 def service_target(cfg: Configuration, method: str, path: str) -> ServiceTarget:
-    """Return the plain service and the rule that cover a call.
+    """Return the plain service and the route that match a call.
 
     Raises:
-        RequestError: NOT_SERVED where no rule matches.
+        RequestError: NOT_SERVED if no route matches.
     """
     if not DOT_SEGMENTS.isdisjoint(path.split("/")):
-        # The service would resolve them: a path under a rule that lets a call be repeated could
-        # reach one that must run once.
-        raise RequestError(Code.NOT_SERVED, "send the path without '.' and '..'")
+        # The service would resolve the dot segments, so a path that matches a repeatable route
+        # could reach an operation that must run only once.
+        raise RequestError(Code.NOT_SERVED, "'.' and '..' are not allowed in the path")
     for service in cfg.services.values():
         for route in service.routes:
             if _matches(route, method, path):
--- a/tests/entry_fakes.py
+++ b/tests/entry_fakes.py
@@ -228,4 +228,4 @@
 
 async def _whole_answer(call: Call, answer: Answer) -> None:
     answer.dispatched()
-    await answer.whole(200, [(b"content-type", b"text/plain")], b"la la", 0)  # type: ignore
+    await answer.complete(200, [(b"content-type", b"text/plain")], b"la la", 0)  # type: ignore
--- a/tests/test_entry_app.py
+++ b/tests/test_entry_app.py
@@ -12,7 +12,7 @@
 from carawayhub.constants import MAX_BODY_BYTES
 from carawayhub.entry import prompts
 from carawayhub.entry.answer import Answer
-from carawayhub.entry.app import CONFIRM_WAIT, DOUBT_SECONDS, AnswerBrokenOff
+from carawayhub.entry.app import CONFIRM_WAIT_SECONDS, UNVERIFIED_SECONDS, AnswerAborted
 from carawayhub.entry.calls import MAX_TOKENS, Call
 from carawayhub.errors import RequestError
 from carawayhub.output.metrics import Latency
@@ -131,7 +131,7 @@
         async def wait(call: Call, answer: Answer) -> None:
             started.set()
             await waiting.wait()
-            await answer.whole(200, [], b"", Code.OK)
+            await answer.complete(200, [], b"", Code.OK)
 
         self.desk.relay.script = wait
         async with anyio.create_task_group() as tasks:
@@ -231,9 +231,9 @@
         await self.refused(Caller(**WITH_KEY), Code.PAUSED, "unknown")
         self.assertEqual((await self.desk.ask(Caller())).code, 0)
         self.desk.has_doubt = False
-        self.desk.clock.advance(DOUBT_SECONDS - CONFIRM_WAIT)
+        self.desk.clock.advance(UNVERIFIED_SECONDS - CONFIRM_WAIT_SECONDS)
         await self.refused(Caller(**WITH_KEY), Code.PAUSED, "unknown")
-        self.desk.clock.advance(CONFIRM_WAIT)
+        self.desk.clock.advance(CONFIRM_WAIT_SECONDS)
         self.assertEqual((await self.desk.ask(Caller(**WITH_KEY))).parts, b"booked")
 
 
@@ -383,7 +383,7 @@
         kept = anyio.Event()
 
         async def run(call: Call, answer: Answer) -> None:
-            await answer.whole(200, [], b"", Code.OK)
+            await answer.complete(200, [], b"", Code.OK)
             for _ in range(5):
                 await anyio.lowlevel.checkpoint()
             kept.set()
@@ -418,7 +418,7 @@
             self.desk.relay.script = fail
             caller = Caller()
             if begun:
-                with self.assertRaises(AnswerBrokenOff):
+                with self.assertRaises(AnswerAborted):
                     await self.desk.ask(caller)
                 self.assertIn(b'"code":3007', caller.parts)
             else:
@@ -449,7 +449,7 @@
 
         self.desk.relay.script = fail
         caller = Caller()
-        with self.assertRaises(AnswerBrokenOff):
+        with self.assertRaises(AnswerAborted):
             await self.desk.ask(caller)
         self.assertFalse(caller.ended)
         first, _, event = caller.parts.partition(b"event: error\ndata: ")
--- a/tests/unguarded.py
+++ b/tests/unguarded.py
@@ -111,14 +111,14 @@
 
 @guard("broken-off-answer")
 def _broken_off_answer() -> None:
-    from carawayhub.entry.app import AnswerBrokenOff, EntryApp
+    from carawayhub.entry.app import AnswerAborted, EntryApp
 
     serve = EntryApp.__call__
 
     async def in_order(self: Any, scope: Any, receive: Any, send: Any) -> None:
         try:
             await serve(self, scope, receive, send)
-        except AnswerBrokenOff:
+        except AnswerAborted:
             await send({"type": "http.response.body", "body": b""})
 
     replace(EntryApp, "__call__", in_order)
