--- a/carawayhub/entry/relay.py
+++ b/carawayhub/entry/relay.py
@@ -29,7 +29,7 @@
 from carawayhub.entry.answer import Answer
 from carawayhub.entry.calls import Call, ModelTarget, ServiceTarget
 from carawayhub.entry.ends import EndWatch
-from carawayhub.entry.passage import StreamForwarder
+from carawayhub.entry.forwarder import StreamForwarder
 from carawayhub.entry.prompts import prompt_blocks
 from carawayhub.entry.stream import StreamCheck
 from carawayhub.errors import RequestError
