--- a/carawayhub/entry/app.py
+++ b/carawayhub/entry/app.py
@@ -1,4 +1,4 @@
-"""The HTTP interface towards callers."""
+"""The HTTP interface for callers."""
 
 import hashlib
 from collections.abc import Awaitable, Callable
@@ -40,17 +40,18 @@
 class AnswerAborted(Exception):  # noqa: N818 - not an error of this process
     """Makes ``uvicorn`` close the caller's connection in the middle of an answer.
 
-    An answer that cannot be completed must not look whole. Closing before the last chunk is what
-    every HTTP/1.1 library reports as an incomplete answer.
+    An answer that cannot be completed must not appear complete. Every HTTP/1.1 library reports a
+    connection that is closed before the last chunk as an incomplete answer.
     """
 
 
 @dataclass(slots=True)
 class EntryParts:
-    """The parts that a request passes through.
+    """The components that handle a request.
 
-    ``doubted`` says whether a pause of this process put in doubt what it knows. ``confirmed`` waits
-    for at most the seconds given until nothing of that is unchecked, and says whether that is so.
+    ``unverified`` returns whether the state of this process is unverified after a pause.
+    ``confirmed`` waits for up to the given seconds until that state is verified again, and returns
+    whether it is.
     """
 
     clock: Clock
@@ -69,8 +70,9 @@
     """The ASGI application of an entry.
 
     Attributes:
-        accepting: Whether new requests are taken; false once no kept answer names this entry.
-        running: Requests in flight.
+        accepting: Whether new requests are accepted; false once no cached list of entries
+            contains this entry.
+        running: Number of requests in flight.
     """
 
     def __init__(self, parts: EntryParts) -> None:
@@ -83,7 +85,7 @@
         self.running = 0
 
     def configure(self, cfg: Configuration) -> None:
-        """Take a configuration into force."""
+        """Apply a configuration."""
         self._cfg = cfg
         self._model_names = frozenset(group.model for group in cfg.groups.values())
         self._by_key = {
@@ -112,7 +114,7 @@
                 await _reject(req, exc.unvouched() if req.runs_once else exc)
             except AnswerAborted:
                 raise
-            except Exception as exc:  # a fault of the entry, see ``_own_fault``
+            except Exception as exc:  # unexpected error, see ``_internal_error``
                 req.code = Code.ENTRY_FAILED
                 await _reject(req, _internal_error(exc))
             finally:
@@ -149,20 +151,20 @@
         return self._cfg
 
     def _note_pause(self) -> None:
-        """Take run-once requests for doubtful for a while after a pause of this process.
+        """Reject run-once requests for a while after a pause of this process.
 
-        A request that lay in a socket while the process was paused may be far older than it looks:
-        its key may have expired at the agent that ran an earlier attempt, and a run now would be
-        the second one. The time since the caller sent it cannot be known, so for as long as such
-        requests may still come out of the sockets they are answered "unknown".
+        A request may have waited in a socket buffer during the pause. Its key may since have
+        expired at the agent that ran an earlier attempt, so that it would run a second time. The
+        time at which the caller sent it is unknown, so for as long as such requests may still be
+        read from the sockets they are answered with the outcome "unknown".
         """
         if self._parts.unverified():
             self._unverified_until = self._parts.clock.monotonic() + UNVERIFIED_SECONDS
 
     def _entries(self, req: Incoming) -> Reply:
-        """Answer which entries to use; a key is not needed, but one that is known helps.
+        """Return the list of entries to use; an API key is optional.
 
-        A caller with a key is sent to the entries that divide its organisation's limits.
+        Callers with a key are directed to the entries that share their organisation's limits.
         """
         query = parse_qs(req.scope["query_string"].decode("latin-1"))
         domain = query.get("failure_domain", [None])[0]
@@ -205,10 +207,10 @@
         return call
 
     def _target(self, cfg: Configuration, req: Incoming, body: bytes) -> calls.Target:
-        """Return what is asked for, refusing names that nothing has.
+        """Return the target of a call, and reject unknown names.
 
-        Admission keeps numbers for each target. Made-up model names that came as far as there
-        would fill this process's memory for as long as it runs.
+        Admission keeps statistics for each target and never drops them, so unknown model names that
+        reached it would fill the memory of this process.
         """
         method, path = req.scope["method"], req.scope["path"]
         if method != "POST" or path not in MODEL_PATHS:
@@ -233,26 +235,26 @@
             req.code = exc.code
             if not answer.started:
                 raise
-            logger.bind(code=int(exc.code)).warning("answer cut: {}", exc)
-            # Whatever the code says of the attempt that failed last: a part of the answer is out,
-            # so the request did run.
+            logger.bind(code=int(exc.code)).warning("answer aborted: {}", exc)
+            # A part of the answer was sent, so the request did run, whatever outcome the code of
+            # the last attempt implies.
             await answer.part(error_event(exc.unvouched()))
             raise AnswerAborted(str(exc)) from exc
         finally:
-            # A caller that left before the first byte says nothing against the endpoint, and one
-            # that left after it nothing of how long whole answers take.
+            # A caller that disconnects before the first byte is no sign of a failing endpoint, and
+            # one that disconnects later gives no duration of a complete answer.
             left_early = req.code is Code.CALLER_LEFT and not answer.started
             parts.admission.release(admitted, ok=req.code is Code.OK or left_early)
             self._measure(call, answer, req)
 
     async def _run(self, call: Call, answer: Answer, receive: Receive, admitted: Admitted) -> None:
-        """Answer the call; end it when the caller goes away, which frees the endpoint's slot."""
+        """Answer the call; cancel it when the caller disconnects, to free the endpoint's slot."""
         failure: RequestError | None = None
         async with anyio.create_task_group() as tasks:
 
             def caller_left() -> None:
-                # ``uvicorn`` says the same once the answer is whole; cancelled then, the connection
-                # to the endpoint would be closed instead of kept.
+                # ``uvicorn`` also sends ``http.disconnect`` after a complete answer. To cancel then
+                # would close the connection to the endpoint instead of keeping it for reuse.
                 if not answer.ended:
                     tasks.cancel_scope.cancel()
 
@@ -265,7 +267,7 @@
                     await self._parts.run_once.run(call, answer)
             except RequestError as exc:
                 failure = exc
-            except Exception as exc:  # a fault of the entry, see ``_own_fault``
+            except Exception as exc:  # unexpected error, see ``_internal_error``
                 failure = _internal_error(exc)
             tasks.cancel_scope.cancel()
         if failure is not None:
@@ -286,17 +288,17 @@
 
 
 def _internal_error(exc: Exception) -> RequestError:
-    """Log an error that nothing here foresaw and return what the caller is told.
+    """Log an unexpected exception and return the error for the caller.
 
-    Left to ``uvicorn`` it would be an answer without a number, and no line of the log would show
-    it: the library's own lines are off, since each answer broken off on purpose would be one.
+    ``uvicorn`` would answer without an error code and log nothing: its own log is disabled, since
+    it would have a line for each answer that is aborted on purpose.
     """
-    logger.exception("a fault of the entry")
+    logger.exception("unexpected error while serving a request")
     return RequestError(Code.ENTRY_FAILED, type(exc).__name__)
 
 
 async def _reject(req: Incoming, exc: RequestError) -> None:
-    logger.bind(code=int(exc.code)).info("request refused: {}", exc)
+    logger.bind(code=int(exc.code)).info("request rejected: {}", exc)
     await send_reply(req.send, error_reply(exc), req.caller_id)
 
 
--- a/carawayhub/entry/process.py
+++ b/carawayhub/entry/process.py
@@ -1,4 +1,4 @@
-"""The entry process: its parts joined, from start to planned stop."""
+"""The entry process: assembles the components and runs them until a planned stop."""
 
 from collections.abc import Sequence
 
@@ -50,15 +50,15 @@
 AWAY_STATES = frozenset({MemberState.SUSPECT, MemberState.LEAVING, MemberState.GONE})
 LARGE_FLEET_ENDPOINTS = 200
 MAX_FULL_MESH_ENTRIES = 16
-"""Entries up to which each has a link to each other, which limits and answers profit from."""
+"""Up to this many entries are fully meshed, which benefits limits and the lists of entries."""
 
 
 class EntryProcess:
-    """One entry; see ``MemberRole`` for the part it plays in the fleet.
+    """One entry; see ``MemberRole`` for the callbacks from the fleet membership.
 
     Args:
-        runtime: Its surroundings.
-        settings: Its settings.
+        runtime: Services of the process, such as its clock and sockets.
+        settings: Settings of the entry.
     """
 
     def __init__(self, runtime: Runtime, settings: EntrySettings) -> None:
@@ -102,7 +102,7 @@
         self._rows: dict[str, str] = {}
 
     async def run(self) -> None:
-        """Serve until a planned stop has come to its end."""
+        """Serve until a planned stop has completed."""
         callers = HttpServer(self._app, self._listen)
         operators = HttpServer(self._operators(), self.runtime.operator_socket)
         async with anyio.create_task_group() as tasks:
@@ -119,12 +119,12 @@
         await self.runtime.member.run(self, self.runtime.peer_socket, ())
 
     async def _shut_down(self, callers: HttpServer, operators: HttpServer) -> None:
-        """End the process so that no caller notices.
+        """Stop the process without failing any request.
 
-        Callers keep the answer to which entries they should use. An entry that closed at once
-        would refuse those that still hold its address. So it first leaves the answers of all
-        entries, serves on until the last kept answer has run out, and then lets the requests in
-        flight end.
+        Callers cache the list of entries, so an entry that closed at once would refuse connections
+        from callers that still have its address. It is therefore first removed from the lists of
+        all entries, serves until the last cached list has expired, and then waits for the requests
+        in flight.
         """
         runtime = self.runtime
         await runtime.stop.wait()
@@ -145,7 +145,7 @@
         operators.stop()
 
     async def _tick(self) -> None:
-        """Move the shares of limits and watch for changes worth an audit entry."""
+        """Adjust the shares of limits and record changes of endpoints in the audit log."""
         while True:
             await anyio.sleep(self.runtime.member.heartbeat_interval())
             self._demand = self._admission.tick()
@@ -162,10 +162,10 @@
                 )
             self._rows[row.endpoint] = condition
 
-    # The entry as a member of the fleet.
+    # Callbacks of ``MemberRole``.
 
     def configured(self, cfg: Configuration) -> None:
-        """Take a version that came into force."""
+        """Apply a new version of the configuration."""
         self._router.configure(cfg)
         self._admission.configure(cfg)
         self._retries.configure(cfg)
@@ -188,10 +188,10 @@
         ]
 
     async def _linked_agents(self, cfg: Configuration, vms: VmList | None) -> tuple[str, ...]:
-        """Return the agents of this entry's links; worked out in a thread in a large fleet.
+        """Return the agents to link with; computed in a thread in a large fleet.
 
-        With thousands of endpoints the work takes a tenth of a second, for which the event loop
-        would stand still and no token would be relayed.
+        With thousands of endpoints this takes a tenth of a second, which would block the event loop
+        and delay every token.
         """
         name = self.runtime.identity.name
         key = plan_key(cfg, vms, name)
@@ -205,12 +205,12 @@
         return found
 
     def listed(self, vms: VmList) -> None:
-        """Take a VM list."""
+        """Apply a new VM list."""
         self._update_leaving()
         self._update_away()
 
     def replied(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
-        """Take what a peer reports."""
+        """Process a peer's reply to a heartbeat."""
         if reply.report is not None:
             self._router.observe(reply.report, asked_at)
             self._reports.observe(reply.report, asked_at, self.runtime.clock.monotonic())
@@ -220,42 +220,45 @@
             self._poison_news.heard(peer.name, run, reply.sequence)
 
     def lost(self, peer: Peer) -> None:
-        """Note that a peer cannot be reached."""
+        """Discard the state of a peer that cannot be reached."""
         self._runs.pop(peer.name, None)
         if peer.role is ProcessRole.AGENT:
             self._router.lost(peer.name)
             self._reports.lost(peer.name)
 
     def members_changed(self) -> None:
-        """Leave entries out of answers that are suspect, leaving or gone."""
+        """Remove entries that are suspect, leaving or gone from the lists for callers."""
         self._admission.set_gone(self._gone_entries())
         self._update_away()
 
     def heard(self, peer: Hello, heartbeat: Heartbeat) -> None:
-        """Take a heartbeat of another entry."""
+        """Process a heartbeat of another entry."""
         if peer.role is ProcessRole.ENTRY:
             self._admission.hear(peer.name, peer.incarnation, heartbeat.demand)
             self._poison_news.records.take(heartbeat.ends)
 
     def report(self, peer: Hello) -> EndpointReport | None:
-        """Return None: an entry has no endpoint."""
+        """Return None, since an entry has no endpoint."""
         return None
 
     def demand(self, peer: Peer) -> tuple[OrganisationDemand, ...]:
-        """Return what this entry's callers ask for."""
+        """Return the demand of this entry's callers for a peer."""
         if peer.role is not ProcessRole.ENTRY:
             return ()
         return self._admission.shares.for_peer(peer.name, self._demand)
 
     def ends(self, peer: Peer, sequence: int) -> tuple[EndsRow, ...]:
-        """Return under which requests endpoints ended, as far as another entry lacks it."""
+        """Return the poison records that another entry has not yet acknowledged."""
         run = self._runs.get(peer.name)
         if peer.role is not ProcessRole.ENTRY or run is None:
             return ()
         return tuple(self._poison_news.rows_for(peer.name, run, sequence))
 
     def _waits_for(self) -> str:
-        """Return that limits are not divided yet: until then each organisation gets little."""
+        """Return why the entry is not ready, empty if it is.
+
+        Until the limits are divided between the entries, each organisation gets little.
+        """
         started = self._admission.shares.started
         return "" if started else "waits to hear how the other entries divide the limits"
 
@@ -271,7 +274,7 @@
         )
 
     def _update_leaving(self) -> None:
-        """Stop using endpoints whose VM the list says is leaving, before their agents say so."""
+        """Stop using endpoints on leaving VMs before their agents announce it."""
         knowledge = self.runtime.member.knowledge
         cfg, vms = knowledge.configuration, knowledge.vms.current
         if cfg is None or vms is None:
@@ -282,10 +285,10 @@
         )
 
     def _update_away(self) -> None:
-        """Work out anew which entries no answer may name.
+        """Update the entries to omit from the lists for callers.
 
-        With a process that is itself cut off all others look away; the directory then names all
-        that are declared.
+        To a process that is itself cut off, all other entries appear unavailable; the directory
+        then lists all configured entries.
         """
         knowledge, identity = self.runtime.member.knowledge, self.runtime.identity
         cfg = knowledge.configuration
@@ -302,7 +305,7 @@
             away.add(identity.name)
         self._directory.set_away(away)
 
-    # What operators see.
+    # Operator interface.
 
     def _operators(self) -> Operators:
         return Operators(
@@ -316,11 +319,11 @@
 
 
 async def run_entry(settings: EntrySettings, host: Host | None = None) -> None:
-    """Run an entry until it was asked to stop and its work is done.
+    """Run an entry until a planned stop has completed.
 
     Args:
-        settings: Its settings.
-        host: What it runs in; the process itself if None.
+        settings: Settings of the entry.
+        host: Host environment; that of this process if None.
 
     Raises:
         CommandError: PORT_IN_USE.
@@ -331,7 +334,7 @@
 
 
 def _entry_peers(cfg: Configuration, vms: VmList | None, own: str) -> set[str]:
-    """Return the entries to link with: all of a small fleet, chosen neighbours of a large one."""
+    """Return the entries to link with: all in a small fleet, gossip neighbours in a large one."""
     if len(cfg.entries) <= MAX_FULL_MESH_ENTRIES:
         return set(cfg.entries) - {own}
     return set(gossip_neighbours(own, entry_nodes(cfg, vms, own)))
