--- a/tests/test_entry_app.py
+++ b/tests/test_entry_app.py
@@ -1,4 +1,4 @@
-"""What callers get from an entry: answers, numbered refusals, and an end to every request."""
+"""Tests of the HTTP interface of an entry: answers, error codes and the end of each request."""
 
 import unittest
 
@@ -33,7 +33,7 @@
 
 
 class AppTestCase(unittest.IsolatedAsyncioTestCase):
-    """A fresh application for each test."""
+    """Base class with a new application for each test."""
 
     def setUp(self) -> None:
         self.desk = Desk()
@@ -44,7 +44,7 @@
         self.assertEqual(account.running, 0, "an admitted request was not released")
 
     async def refused(self, caller: Caller, code: Code, outcome: str = "not_run") -> Caller:
-        """Ask, and fail unless the answer is this refusal and was counted."""
+        """Send a request and check that it is rejected with this code and counted."""
         before = self.desk.counted().get(int(code), 0)
         await self.desk.ask(caller)
         self.assertEqual(caller.error["code"], code, caller.error)
@@ -58,7 +58,7 @@
 
 
 class EntriesTest(AppTestCase):
-    """Which entry to use."""
+    """The list of entries to use."""
 
     async def test_no_key_is_needed_and_the_answer_says_how_long_it_may_be_kept(self) -> None:
         query = b"failure_domain=brest&failure_domain=%ff&x"
@@ -77,7 +77,7 @@
 
 
 class RefusalTest(AppTestCase):
-    """Requests that are refused before anything is sent."""
+    """Requests that are rejected before anything is sent."""
 
     async def test_each_fault_of_a_request_has_its_number(self) -> None:
         odd = ((b"authorization", b"Basic \xff"),)
@@ -149,10 +149,10 @@
             self.assertIn("retry-after", caller.answer_headers)
 
     async def test_made_up_model_names_leave_nothing_behind(self) -> None:
-        """The memory of an entry grows for as long as it runs.
+        """Guards against unbounded growth of an entry's memory.
 
-        A caller asks for model names that do not exist, each time another. Admission would keep
-        numbers for each of them, and nothing would ever remove them.
+        A caller requests a different unknown model name each time. Admission would keep statistics
+        for each of them, which are never removed.
         """
         for number in range(3):
             await self.refused(Caller(body=(b'{"model": "m%d"}' % number,)), Code.NOT_SERVED)
@@ -206,11 +206,11 @@
         await self.refused(caller, Code.NOT_ALLOWED, "unknown")
 
     async def test_no_refusal_of_the_entry_says_that_a_key_was_not_run(self) -> None:
-        """A visitor books twice: told "not run", the app sends its booking under a new key.
+        """After a false "not run" the caller would send its booking again under a new key.
 
         The first attempt ran through another entry and its answer was lost. The second attempt,
-        with the same key, comes to an entry that refuses it, for whatever reason, without asking
-        the agent that ran the first.
+        with the same key, reaches an entry that rejects it, for whatever reason, without asking
+        the agent that ran the first. The booking would run twice.
         """
         spent = (*WITH_KEY["headers"], (b"x-deadline-ms", b"0"))
         await self.refused(Caller(**BOOKING, headers=spent), Code.DEADLINE_PASSED, "unknown")
@@ -283,9 +283,9 @@
             self.assertEqual(self.desk.relay.calls[-1].body, body)
 
     async def test_the_path_goes_on_as_the_caller_wrote_it(self) -> None:
-        """A guest whose name has an accent gets an error each time, whatever the endpoint.
+        """A path with a percent-encoded accent fails each time, at every endpoint.
 
-        The path came with escapes and was sent on without them; no HTTP library takes it so.
+        The path was decoded and forwarded without encoding, which no HTTP library accepts.
         """
         caller = Caller("GET", "/slots/Le Bri\xe9", (b"",), query=b"d=%20")
         caller.raw_path = b"/slots/Le%20Bri%C3%A9"
@@ -293,17 +293,17 @@
         self.assertEqual(self.desk.relay.calls[0].path, "/slots/Le%20Bri%C3%A9?d=%20")
 
     async def test_a_path_that_a_service_would_resolve_to_another_is_refused(self) -> None:
-        """One booking runs twice: it was sent as a call that may be repeated.
+        """A booking runs twice because it was treated as a repeatable call.
 
-        Its path lies under the rule of a repeatable call, with "..", and the service resolves it to
-        the path of bookings.
+        Its path contains ".." and matches the route of a repeatable call, but the service resolves
+        it to the path of bookings.
         """
         await self.refused(Caller("GET", "/slots/../bookings"), Code.NOT_SERVED)
 
     async def test_a_model_is_asked_for_no_answer_that_the_entry_cannot_read(self) -> None:
         """Every call of a caller whose library accepts compressed answers fails with 3004.
 
-        The engine compresses its answer, and no event seems to carry the id of the request.
+        The engine compresses its answer, so the entry finds the request's id in no event.
         """
         headers = ((b"accept-encoding", b"gzip"), (b"x-other", b"1"))
         await self.desk.ask(Caller(headers=headers))
@@ -345,10 +345,10 @@
         self.assertIn(("booking", "queue"), found)
 
     async def test_a_caller_that_leaves_ends_its_request(self) -> None:
-        """Callers that gave up keep their places until nobody else gets one.
+        """Guards against callers that have disconnected but keep their slots, until none is free.
 
-        The caller closes its connection while the endpoint still works. What runs for it must be
-        cancelled and its place given back, and it must not count as answered.
+        The caller closes its connection while the endpoint still runs the request. The request must
+        be cancelled and its slot released, and it must not count as answered.
         """
         for begun in (False, True):
             caller, ended = Caller(), anyio.Event()
@@ -375,10 +375,10 @@
         self.assertEqual(self.desk.counted(), {int(Code.CALLER_LEFT): 2})
 
     async def test_the_word_that_an_answer_is_whole_is_no_caller_that_leaves(self) -> None:
-        """Each answer costs a connection to its endpoint, which is closed instead of kept.
+        """Connections to endpoints are closed after each answer instead of being kept alive.
 
-        Once an answer is whole the HTTP server reports the caller as gone. The request was then
-        cancelled while its connection was being put back.
+        Once an answer is complete the HTTP server reports a disconnect of the caller. The request
+        was then cancelled while its connection was being returned to the pool.
         """
         kept = anyio.Event()
 
@@ -404,9 +404,9 @@
         self.assertEqual(self.desk.counted(), {int(Code.CALLER_LEFT): 1})
 
     async def test_a_fault_of_the_entry_has_a_number_and_a_line_in_the_log(self) -> None:
-        """Callers get a bare 500 and operators find nothing in the log.
+        """Callers receive a 500 without an error code and nothing is logged.
 
-        Some error that nobody foresaw leaves the application; the HTTP server answers it, silently.
+        An unexpected exception leaves the application, and the HTTP server answers it silently.
         """
         for begun in (False, True):
 
@@ -436,10 +436,10 @@
         await self.refused(Caller(), Code.ANSWER_TIMEOUT, "unknown")
 
     async def test_a_failure_after_the_first_byte_breaks_the_answer_off(self) -> None:
-        """A caller takes half a chorus for the whole.
+        """A caller would take a truncated answer for a complete one.
 
-        The stream breaks after its first event and cannot be resumed. The answer must not end in
-        good order: an event says why, and the connection is closed before the last chunk.
+        The stream breaks after its first event and cannot be resumed. The answer must not end
+        normally: an event gives the error, and the connection is closed before the last chunk.
         """
 
         async def fail(call: Call, answer: Answer) -> None:
@@ -481,7 +481,7 @@
 
 
 class AnyBytesTest(unittest.TestCase):
-    """Whatever a caller sends, it gets a numbered reply."""
+    """A caller receives an error code whatever bytes it sends."""
 
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(
@@ -506,9 +506,9 @@
         self.assertIsInstance(prompts.prompt_blocks(body), tuple)
 
     def test_json_that_is_nested_without_end_is_refused(self) -> None:
-        """One caller's request ends in an internal error with no number.
+        """A request ends in an internal error without an error code.
 
-        Its body holds a hundred thousand brackets, more than the parser's stack holds.
+        Its body nests a hundred thousand brackets, which overflows the parser's stack.
         """
         deep = b"[" * 100_000 + b"]" * 100_000
         for field in (b"messages", b"prompt", b"other"):
--- a/tests/test_relay_joining.py
+++ b/tests/test_relay_joining.py
@@ -1,4 +1,4 @@
-"""How reads of a stream are put off for a while, and what a slow caller holds back."""
+"""Tests that reads of a stream are batched and that a slow caller causes backpressure."""
 
 import unittest
 from collections.abc import AsyncIterator
@@ -21,17 +21,17 @@
 
 
 async def turns() -> None:
-    """Let every other task run as far as it can."""
+    """Let every other task run until it blocks."""
     for _ in range(TURNS):
         await anyio.lowlevel.checkpoint()
 
 
 class Source:
-    """Parts that come at given times, read on a clock that only moves by waiting.
+    """Parts that arrive at given times, on a clock that only advances by waiting.
 
     Attributes:
-        now: The clock's reading.
-        slept: How long each read was put off.
+        now: Current time of the clock.
+        slept: Delay of each read.
     """
 
     def __init__(self, *comes_at: float) -> None:
@@ -62,13 +62,13 @@
 
 
 class Joining(unittest.IsolatedAsyncioTestCase):
-    """Reads are put off only where parts come faster than the window."""
+    """Reads are delayed only if parts arrive faster than the window."""
 
     async def test_fast_parts_are_read_once_a_window(self) -> None:
-        """One core is too little for the tokens of an entry, each with a read of its own.
+        """With a separate read for each token, one core cannot handle the tokens of an entry.
 
-        Tokens come each 6 ms. After two that had to be waited for, reads are put off, and what
-        comes meanwhile is there at once.
+        Tokens arrive every 6 ms. After two reads that had to wait, reads are delayed, and all parts
+        that arrive in the meantime are returned without waiting.
         """
         source = Source(*(0.1 + 0.006 * at for at in range(12)))
         parts = await read_all(source.body())
@@ -84,7 +84,7 @@
         self.assertEqual((source.now, source.slept), (0.1, []))
 
     async def test_parts_slower_than_the_window_are_never_held_back(self) -> None:
-        """At 30 ms between tokens a wait would gather nothing and only keep the caller."""
+        """At 30 ms between tokens a delay would batch nothing and only add latency."""
         source = Source(*(0.03 * at for at in range(1, 9)))
         await read_all(source.body())
         self.assertEqual(source.slept, [])
@@ -95,7 +95,7 @@
         self.assertEqual(source.slept, [])
 
     async def test_a_part_is_put_off_for_less_than_the_window_and_one_gap(self) -> None:
-        """Callers are promised 43 ms between tokens; what joining adds must stay well below."""
+        """Callers are promised 43 ms between tokens; the added delay must stay well below that."""
         gap = 0.006
         source = Source(*(0.1 + gap * at for at in range(50)))
         body = source.body()
@@ -114,13 +114,13 @@
 
 
 class SlowCallers(unittest.IsolatedAsyncioTestCase):
-    """What is not taken is not read."""
+    """Nothing is read from the endpoint until the caller has accepted the previous data."""
 
     async def test_a_caller_that_takes_nothing_stops_the_reads(self) -> None:
-        """An entry runs out of memory and takes all its callers with it.
+        """Guards against an entry that runs out of memory, which fails all its callers.
 
-        A caller opens a stream and stops reading. The endpoint has thousands of events ready. The
-        relay must leave them there: while the caller takes nothing it reads no further.
+        A caller opens a stream and stops reading while the endpoint has thousands of events ready.
+        The relay must not read them before the caller reads again.
         """
         script = [STREAM_HEAD, *[chunk(event(at)) for at in range(LONG)], END]
         bench = Bench({"m1": [script], "m2": []})
--- a/tests/test_relay_poison.py
+++ b/tests/test_relay_poison.py
@@ -1,8 +1,8 @@
-"""Calls that end the engines which run them, through the entry's own interface.
+"""Tests of poison requests, which crash the engines that run them, through the entry's interface.
 
-An engine crashes with a certain prompt. Its caller takes that for a failure of the engine and asks
-again, through another entry and under a new id; each entry tried two engines a time, and a group of
-engines was down for as long as the caller went on.
+A certain prompt crashes an engine. The caller retries through another entry and under a new id.
+Each entry tries two engines per call, so a group of engines stays down as long as the caller
+retries.
 """
 
 import unittest
@@ -52,7 +52,7 @@
     """Model calls of one entry."""
 
     async def again(self, bench: Bench) -> RequestError | None:
-        """Send the call once more, some seconds later, with engines that are back."""
+        """Repeat the call some seconds later, when the engines are available again."""
         bench.clock.advance(APART)
         for name in NAMES:
             bench.report(name)
@@ -63,9 +63,9 @@
         return None
 
     async def test_call_under_which_three_engines_ended_is_refused_without_a_try(self) -> None:
-        """A connection that is refused after the broken answer shows the end.
+        """A connection refused after the interrupted answer proves that the engine ended.
 
-        Each call breaks off at one engine and is sent to the other, where it breaks off too.
+        Each call is interrupted at one engine, retried at the other and interrupted there too.
         """
         bench = Bench({"m1": [ENDS, GONE] * 6, "m2": [ENDS, GONE] * 6})
         codes = [await self.again(bench) for _ in range(5)]
@@ -89,10 +89,10 @@
 
 
 class RunOnceCalls(unittest.IsolatedAsyncioTestCase):
-    """Calls that run at most once, each repetition with a key of its own."""
+    """Run-once calls that are repeated under a new key each time."""
 
     async def test_call_under_new_keys_is_refused_after_three_ends(self) -> None:
-        """The ledger knows keys. A caller that draws a new one for each try was let on for ever."""
+        """The ledger identifies calls by key, so new keys would allow attempts without end."""
         desk = Desk()
         desk.agents.code = int(Code.ANSWER_CUT)
         desk.upstream.listening = desk.upstream.listening.NO
@@ -109,10 +109,10 @@
 
 
 class Heartbeats(unittest.TestCase):
-    """How records travel between entries that keep links."""
+    """Exchange of poison records between linked entries."""
 
     def entry(self) -> EntryProcess:
-        """Return as much of an entry as links speak to."""
+        """Return an entry with only the attributes that links use."""
         entry = object.__new__(EntryProcess)
         entry._poison_news = PoisonNews(PoisonRecords(ManualClock(5.0)))
         entry._runs = {}
