--- a/carawayhub/entry/calls.py
+++ b/carawayhub/entry/calls.py
@@ -34,7 +34,7 @@
 MODEL_PATHS = frozenset({CHAT_PATH, COMPLETIONS_PATH})
 
 BODY_TIMEOUT_SECONDS = 30.0
-"""Time limit for reading a body; the longest delay of an idempotency key is derived from it."""
+"""Time limit for a complete body; limits how late an idempotency key may reach its agent."""
 
 MAX_LENGTH_DIGITS = 20
 MAX_TOKENS = 1_000_000
