--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -129,7 +129,9 @@
         for entry in cfg.entries.values()
     )
     agents = (
-        Candidate(peer_key(ProcessRole.AGENT, node.name), node.failure_domain, light=True)
+        Candidate(
+            peer_key(ProcessRole.AGENT, node.name), node.failure_domain, has_spare_capacity=True
+        )
         for node in cfg.endpoints.values()
     )
     return (*entries, *agents)
@@ -184,7 +186,7 @@
         return Manifest.of(read.version, read.files)
 
     members = Membership(SystemClock(), lambda change: None)
-    members.expect(Member(f"peer-{n}", f"vm-{n}", f"domain-{n % 16}") for n in range(PEERS))
+    members.set_peers(Member(f"peer-{n}", f"vm-{n}", f"domain-{n % 16}") for n in range(PEERS))
     return {
         "manifest, one file": _us(manifest) / FILES,
         "membership, one peer": _us(members.evaluate) / PEERS,
--- a/benchmarks/fleet_memory.py
+++ b/benchmarks/fleet_memory.py
@@ -119,7 +119,7 @@
 
 def _members() -> Membership:
     members = Membership(LoopClock())
-    members.expect(Member(f"peer-{n}", f"vm-{n}", f"domain-{n % DOMAINS}") for n in range(PEERS))
+    members.set_peers(Member(f"peer-{n}", f"vm-{n}", f"domain-{n % DOMAINS}") for n in range(PEERS))
     return members
 
 
--- a/benchmarks/fleet_nodes.py
+++ b/benchmarks/fleet_nodes.py
@@ -313,6 +313,6 @@
         # Alone in its failure domain, each is among the few that watch there.
         return [Candidate(node.name, node.name) for node in places]
     return [
-        Candidate(node.name, node.failure_domain, light=node.name.startswith("agent"))
+        Candidate(node.name, node.failure_domain, has_spare_capacity=node.name.startswith("agent"))
         for node in places
     ]
--- a/benchmarks/fleet_rates.py
+++ b/benchmarks/fleet_rates.py
@@ -149,7 +149,7 @@
     delays = sorted(delay for each in times for delay in each) or [0.0]
     entries = [name for name, node in fleet.nodes.items() if node.is_entry]
     agents = [name for name, node in fleet.nodes.items() if not node.is_entry]
-    watchers = [name for name, node in fleet.nodes.items() if node.watcher.on_duty]
+    watchers = [name for name, node in fleet.nodes.items() if node.watcher.is_watcher]
     watched = _mean(rates.kilobytes, watchers) + _mean(rates.from_service, watchers)
     return Row(
         scenario=scenario,
--- a/benchmarks/link_parts.py
+++ b/benchmarks/link_parts.py
@@ -227,4 +227,4 @@
 def expect(side: Side, peer: Peer) -> None:
     """Let a process know of a peer as its membership would."""
     member = Member(peer.key, f"vm-{peer.name}", DOMAINS[0], False)
-    side.knowledge.membership.expect((member,))
+    side.knowledge.membership.set_peers((member,))
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -17,7 +17,13 @@
 
 from benchmarks.virtual_time import OWNER, LoopClock, spent
 from benchmarks.virtual_time import run as run_virtual
-from carawayhub.fleet.membership import GONE_AFTER, Member, MemberChange, Membership, MemberState
+from carawayhub.fleet.membership import (
+    GONE_AFTER_SECONDS,
+    Member,
+    MemberChange,
+    Membership,
+    MemberState,
+)
 from carawayhub.fleet.pace import heartbeat_interval
 
 SEED = 5
@@ -123,7 +129,7 @@
         self.counts = Counts()
         self.peers = {f"peer-{number}": FakePeer(f"peer-{number}") for number in range(peers)}
         self.members = Membership(self.clock, self._changed)
-        self.members.expect(Member(name, f"vm-{name}", domain_of(name)) for name in self.peers)
+        self.members.set_peers(Member(name, f"vm-{name}", domain_of(name)) for name in self.peers)
         self.cut_off = False
         self.stopped = anyio.Event()
         self.stopped.set()
@@ -179,7 +185,7 @@
 
     def _heard(self, peer: FakePeer) -> None:
         before = self.members.usable(peer.name)
-        self.members.heard(peer.name, incarnation=1)
+        self.members.record_heartbeat(peer.name, incarnation=1)
         if not before and self.members.usable(peer.name):
             self.counts.uses += 1
         if peer.plain_since is not None:
@@ -194,7 +200,7 @@
     def _plain_evicts(self) -> None:
         now = self.clock.monotonic()
         for peer in self.peers.values():
-            due = peer.plain_since is not None and now - peer.plain_since >= GONE_AFTER
+            due = peer.plain_since is not None and now - peer.plain_since >= GONE_AFTER_SECONDS
             if due and peer.dead_since is None:
                 self.counts.plain_evicted.add(peer.name)
 
@@ -302,7 +308,7 @@
 async def _stopped(observer: Observer) -> None:
     observer.stopped = anyio.Event()
     await anyio.sleep(90.0)
-    observer.members.distrust()
+    observer.members.reset_to_unconfirmed()
     observer.stopped.set()
     await anyio.sleep(30.0)
 
--- a/carawayhub/fleet/flaps.py
+++ b/carawayhub/fleet/flaps.py
@@ -1,28 +1,28 @@
-"""Keeps a peer that comes and goes out of use for a while."""
+"""Flap damping: temporarily excludes a peer that fails and recovers repeatedly."""
 
 from dataclasses import dataclass
 
 from carawayhub.clock import Clock
 
-HALF_LIFE = 60.0
-OUT_ABOVE = 3.0
-BACK_BELOW = 1.0
-HIGHEST = 6.0
+HALF_LIFE_SECONDS = 60.0
+DAMP_ABOVE = 3.0
+REUSE_BELOW = 1.0
+MAX_PENALTY = 6.0
 
 
 @dataclass(slots=True)
 class _Penalty:
     value: float
-    at: float
-    out: bool = False
+    updated_at: float
+    damped: bool = False
 
 
 class FlapDamping:
-    """Counts how often each peer came back, with a penalty that halves each minute.
+    """Keeps a penalty per peer that grows by one with each recovery and halves each minute.
 
-    An endpoint behind a loose cable answers one heartbeat and misses the next three. Each return
-    would bring it new work that fails. After more than ``OUT_ABOVE`` returns in short order it
-    stays out of use until the penalty has fallen below ``BACK_BELOW``, two to three minutes later.
+    An endpoint behind a loose cable may answer one heartbeat and miss the next three; after each
+    recovery it would receive requests that fail. A peer whose penalty exceeds ``DAMP_ABOVE`` is
+    excluded until the penalty is below ``REUSE_BELOW``, two to three minutes later.
     """
 
     __slots__ = ("_clock", "_penalties")
@@ -31,28 +31,28 @@
         self._clock = clock
         self._penalties: dict[str, _Penalty] = {}
 
-    def returned(self, peer: str) -> None:
-        """Note that ``peer`` came back after it was suspected."""
+    def record_recovery(self, peer: str) -> None:
+        """Record that ``peer`` answered again after it was suspected."""
         now = self._clock.monotonic()
         penalty = self._penalties.setdefault(peer, _Penalty(0.0, now))
-        penalty.value = min(HIGHEST, _decayed(penalty, now) + 1.0)
-        penalty.at = now
-        penalty.out = penalty.out or penalty.value > OUT_ABOVE
+        penalty.value = min(MAX_PENALTY, _decayed(penalty, now) + 1.0)
+        penalty.updated_at = now
+        penalty.damped = penalty.damped or penalty.value > DAMP_ABOVE
 
-    def is_out(self, peer: str) -> bool:
-        """Return whether ``peer`` is kept out of use."""
+    def is_damped(self, peer: str) -> bool:
+        """Return whether ``peer`` is excluded from use."""
         penalty = self._penalties.get(peer)
         if penalty is None:
             return False
         value = _decayed(penalty, self._clock.monotonic())
-        if value < BACK_BELOW:
-            penalty.out = False
-        return penalty.out
+        if value < REUSE_BELOW:
+            penalty.damped = False
+        return penalty.damped
 
     def forget(self, peer: str) -> None:
-        """Drop what is known of ``peer``."""
+        """Remove the penalty of ``peer``."""
         self._penalties.pop(peer, None)
 
 
 def _decayed(penalty: _Penalty, now: float) -> float:
-    return penalty.value * 0.5 ** ((now - penalty.at) / HALF_LIFE)
+    return penalty.value * 0.5 ** ((now - penalty.updated_at) / HALF_LIFE_SECONDS)
--- a/carawayhub/fleet/start.py
+++ b/carawayhub/fleet/start.py
@@ -99,14 +99,14 @@
         await anyio.sleep(self._watcher.start_jitter())
         started = self._clock.monotonic()
         while not self._service_answered:
-            self._service_answered = await self._watcher.note()
+            self._service_answered = await self._watcher.read_version()
             await anyio.sleep(POLL if self._service_answered else self._watcher.retry_pause())
         # Contents come from peers first: a failure domain that restarts as one would otherwise read
         # each file as many times as it has processes. Where nobody has anything yet, the watchers
         # need their time first.
-        deadline = started + SERVICE_FALLBACK + self._watcher.reading_time()
+        deadline = started + SERVICE_FALLBACK + self._watcher.full_read_seconds()
         await anyio.sleep(max(0.0, deadline - self._clock.monotonic()))
-        while self._behind() and not self._watcher.on_duty:
+        while self._behind() and not self._watcher.is_watcher:
             await anyio.sleep(self._watcher.fallback_jitter())
             if self._behind():
                 await self._watcher.read()
--- a/carawayhub/fleet/vmsync.py
+++ b/carawayhub/fleet/vmsync.py
@@ -22,7 +22,11 @@
 from carawayhub.fleet.manifest import History, Manifest, VersionId, states_digest
 from carawayhub.fleet.messages import Document, ManifestReply, ManifestRequest
 from carawayhub.fleet.ports import FleetPeers
-from carawayhub.fleet.watchers import EMPTY_ANSWER_PAUSE, SILENCE_MARGIN, WATCH_WAIT
+from carawayhub.fleet.watchers import (
+    EMPTY_RESPONSE_PAUSE_SECONDS,
+    RESPONSE_MARGIN_SECONDS,
+    WATCH_WAIT_SECONDS,
+)
 from carawayhub.peers.signal import Signal
 from carawayhub.platform.ports import ListedVm, VmDirectory, VmList, VmState
 
@@ -35,7 +39,7 @@
     Args:
         peers: Calls to other processes.
         directory: The platform's list.
-        on_duty: Returns whether this process is one of those that watch.
+        is_watcher: Returns whether this process is one of those that watch.
         clock: Source of time.
         rng: Source of jitter and of the choice among peers.
     """
@@ -47,7 +51,7 @@
         "_history",
         "_learned",
         "_no_contents",
-        "_on_duty",
+        "_is_watcher",
         "_peers",
         "_rng",
         "_sources",
@@ -59,13 +63,13 @@
         self,
         peers: FleetPeers,
         directory: VmDirectory,
-        on_duty: Callable[[], bool],
+        is_watcher: Callable[[], bool],
         clock: Clock,
         rng: random.Random,
     ) -> None:
         self._peers = peers
         self._directory = directory
-        self._on_duty = on_duty
+        self._is_watcher = is_watcher
         self._clock = clock
         self._rng = rng
         self._backoff = Backoff(rng)
@@ -112,7 +116,7 @@
     async def watch(self) -> None:
         """Watch the platform's list while this process is on duty, until cancelled."""
         while True:
-            if not self._on_duty():
+            if not self._is_watcher():
                 await anyio.sleep(self._rng.uniform(DUTY_CHECK / 2, DUTY_CHECK))
                 continue
             await anyio.sleep(await self._watch_once())
@@ -120,7 +124,7 @@
     async def read(self) -> bool:
         """Read the list once, as at the start; return whether the platform answered."""
         try:
-            with anyio.fail_after(SILENCE_MARGIN):
+            with anyio.fail_after(RESPONSE_MARGIN_SECONDS):
                 self.take(await self._directory.vms(0, 0.0))
         except (PlatformError, TimeoutError):
             return False
@@ -130,13 +134,13 @@
         asked_at, before = self._clock.monotonic(), self.number
         try:
             # A connection that went silent is given up and a new one used; see BudgetedService.
-            with anyio.fail_after(WATCH_WAIT + SILENCE_MARGIN):
-                self.take(await self._directory.vms(before, WATCH_WAIT))
+            with anyio.fail_after(WATCH_WAIT_SECONDS + RESPONSE_MARGIN_SECONDS):
+                self.take(await self._directory.vms(before, WATCH_WAIT_SECONDS))
         except (PlatformError, TimeoutError):
             return self._backoff.next()
         self._backoff.reset()
-        at_once = self._clock.monotonic() - asked_at < WATCH_WAIT / 2
-        return EMPTY_ANSWER_PAUSE if at_once and self.number == before else 0.0
+        at_once = self._clock.monotonic() - asked_at < WATCH_WAIT_SECONDS / 2
+        return EMPTY_RESPONSE_PAUSE_SECONDS if at_once and self.number == before else 0.0
 
     async def _fetch_from(self, peer: str) -> None:
         try:
--- a/carawayhub/process/exchange.py
+++ b/carawayhub/process/exchange.py
@@ -104,7 +104,7 @@
     def link_up(self, peer: Peer, hello: Hello) -> None:
         """Note that ``peer`` answered on a new connection."""
         self._book.note(peer.key, peer.address)
-        self._knowledge.membership.heard(peer.key, hello.incarnation)
+        self._knowledge.membership.record_heartbeat(peer.key, hello.incarnation)
 
     def replied(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
         """Take a reply."""
@@ -113,7 +113,7 @@
         version = VersionId(reply.version, reply.digest)
         knowledge.sync.heard(peer.key, version, reply.service_age)
         knowledge.vms.heard(peer.key, reply.vms)
-        if not knowledge.membership.heard(peer.key, reply.incarnation, reply.leaving):
+        if not knowledge.membership.record_heartbeat(peer.key, reply.incarnation, reply.leaving):
             return
         if reply.sequence:
             count = self._pauses_at_send.get(peer.key, -1)
@@ -157,7 +157,7 @@
         version = VersionId(heartbeat.version, heartbeat.digest)
         knowledge.sync.heard(key, version, heartbeat.service_age)
         knowledge.vms.heard(key, heartbeat.vms)
-        knowledge.membership.heard(key, peer.incarnation, heartbeat.leaving)
+        knowledge.membership.record_heartbeat(key, peer.incarnation, heartbeat.leaving)
         if self._identity.role is ProcessRole.AGENT:
             # An agent opens no links. A heartbeat may have lain in the socket for as long as the
             # agent was paused; one that repeats the count of pauses was sent after the reply that
@@ -178,4 +178,4 @@
         pauses.check()
         if pauses.count != self._pauses_seen:
             self._pauses_seen = pauses.count
-            self._knowledge.membership.distrust()
+            self._knowledge.membership.reset_to_unconfirmed()
--- a/carawayhub/process/knowledge.py
+++ b/carawayhub/process/knowledge.py
@@ -80,7 +80,7 @@
             in_force=in_force,
             sync=sync,
             watcher=watcher,
-            vms=VmListSync(book, platform, lambda: watcher.on_duty, clock, rng),
+            vms=VmListSync(book, platform, lambda: watcher.is_watcher, clock, rng),
             membership=Membership(clock, changed),
             pauses=PauseDetector(clock, _views(identity.role)),
             confirmed=Signal(),
--- a/carawayhub/process/member.py
+++ b/carawayhub/process/member.py
@@ -209,7 +209,7 @@
         """
         while True:
             await self.knowledge.sync.changed.wait()
-            if self.identity.role is ProcessRole.ENTRY or self.knowledge.watcher.on_duty:
+            if self.identity.role is ProcessRole.ENTRY or self.knowledge.watcher.is_watcher:
                 exchange.changed.notify()
 
     async def _follow_vms(self) -> None:
@@ -220,7 +220,7 @@
                 continue
             if self.configuration is None:
                 self._watch_alone_at_first()
-            self.knowledge.membership.listed(vms)
+            self.knowledge.membership.update_vm_list(vms)
             self._role.listed(vms)
             self._relink.notify()
 
@@ -270,7 +270,9 @@
         ]
         # Agents have few links, so reading the platform costs them least; they watch first.
         candidates += [
-            Candidate(peer_key(ProcessRole.AGENT, each.name), each.failure_domain, light=True)
+            Candidate(
+                peer_key(ProcessRole.AGENT, each.name), each.failure_domain, has_spare_capacity=True
+            )
             for each in cfg.endpoints.values()
         ]
         size = len(cfg.entries) + len(cfg.endpoints)
@@ -292,7 +294,7 @@
         if cfg is None or self._links is None or self._role is None:
             return
         wanted = await self._role.peers(cfg, self.knowledge.vms.current)
-        self.knowledge.membership.expect(each.member for each in wanted)
+        self.knowledge.membership.set_peers(each.member for each in wanted)
         opened = {each.peer.key: each.peer for each in wanted}
         exchange.opening(opened)
         for peer in self._links.want(opened.values()):
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -1,10 +1,10 @@
-"""Who is alive, suspect, leaving or gone."""
+"""Tests of the membership states alive, suspect, leaving and gone."""
 
 import unittest
 
 from carawayhub.clock import ManualClock
 from carawayhub.fleet.membership import (
-    GONE_AFTER,
+    GONE_AFTER_SECONDS,
     LeavingSource,
     Member,
     MemberChange,
@@ -22,48 +22,48 @@
         self.changes: list[MemberChange] = []
         self.members = Membership(self.clock, self.changes.append)
         self.names = [f"peer-{number}" for number in range(9)]
-        self.members.expect(member(name) for name in self.names)
-        self.members.listed(vm_list(1, self.names))
+        self.members.set_peers(member(name) for name in self.names)
+        self.members.update_vm_list(vm_list(1, self.names))
         for name in self.names:
-            self.members.heard(name, incarnation=1)
+            self.members.record_heartbeat(name, incarnation=1)
         self.changes.clear()
 
     def test_a_dead_peer_is_suspect_and_then_gone(self) -> None:
         self.members.failed("peer-0", "refused")
         self.assertIs(self.members.state("peer-0"), MemberState.SUSPECT)
         self.assertFalse(self.members.usable("peer-0"))
-        self.members.listed(vm_list(2, self.names[1:]))
+        self.members.update_vm_list(vm_list(2, self.names[1:]))
         self.assertIs(self.members.state("peer-0"), MemberState.GONE)
 
     def test_a_peer_that_the_lagging_list_keeps_is_gone_after_a_time(self) -> None:
         self.members.failed("peer-0", "refused")
-        self.clock.advance(GONE_AFTER)
+        self.clock.advance(GONE_AFTER_SECONDS)
         self.members.evaluate()
         self.assertIs(self.members.state("peer-0"), MemberState.GONE)
 
     def test_an_empty_list_evicts_nobody_that_answers(self) -> None:
-        """All endpoints go out of use at once though every one of them serves.
+        """Guards against excluding all endpoints at once although all of them serve.
 
-        The platform's list is served empty after a restart of the platform's database.
+        The platform serves an empty VM list after a restart of its database.
         """
-        self.members.listed(vm_list(2, []))
+        self.members.update_vm_list(vm_list(2, []))
         self.assertTrue(all(self.members.usable(name) for name in self.names))
 
     def test_a_process_that_is_cut_off_suspects_itself(self) -> None:
-        """An entry whose switch port fails throws all of its peers out and has to begin anew.
+        """Guards against an entry evicting all of its peers when its own switch port fails.
 
-        Connections to all peers fail within seconds, in all failure domains. What is wrong is at
-        the entry: its peers are well and must not be declared gone, nor damped as flapping later.
+        Connections to all peers fail within seconds, in all failure domains. The fault is at the
+        entry: its peers are healthy and must not be declared gone, nor damped as flapping later.
         """
         for _ in range(5):
             for name in self.names[:8]:
                 self.members.failed(name, "no route")
-            self.clock.advance(2 * GONE_AFTER)
+            self.clock.advance(2 * GONE_AFTER_SECONDS)
             self.members.evaluate()
             self.assertTrue(self.members.isolated)
             for name in self.names:
                 self.assertIsNot(self.members.state(name), MemberState.GONE)
-                self.members.heard(name, incarnation=1)
+                self.members.record_heartbeat(name, incarnation=1)
                 self.members.evaluate()
         self.assertFalse(self.members.isolated)
         self.assertTrue(all(self.members.usable(name) for name in self.names))
@@ -73,20 +73,20 @@
             if name in ("peer-0", "peer-3", "peer-6"):
                 self.members.failed(name, "no route")
         self.assertFalse(self.members.isolated)
-        self.clock.advance(GONE_AFTER)
+        self.clock.advance(GONE_AFTER_SECONDS)
         self.members.evaluate()
         self.assertEqual(self.members.down(), {"peer-0", "peer-3", "peer-6"})
         self.assertIs(self.members.state("peer-3"), MemberState.GONE)
 
     def test_a_flapping_peer_is_kept_out_of_use_for_a_while(self) -> None:
-        """Requests to one endpoint fail in bursts, each time that it seems to be back.
+        """Guards against bursts of failed requests each time a flapping endpoint recovers.
 
         Its cable is loose: it answers a heartbeat, misses some, and answers again.
         """
         for _ in range(4):
             self.members.failed("peer-0", "silent")
             self.clock.advance(3)
-            self.members.heard("peer-0", incarnation=1)
+            self.members.record_heartbeat("peer-0", incarnation=1)
         self.assertIs(self.members.state("peer-0"), MemberState.ALIVE)
         self.assertTrue(self.members.damped("peer-0"))
         self.assertFalse(self.members.usable("peer-0"))
@@ -95,48 +95,48 @@
 
     def test_one_restart_is_not_flapping(self) -> None:
         self.members.failed("peer-0", "refused")
-        self.members.heard("peer-0", incarnation=2)
+        self.members.record_heartbeat("peer-0", incarnation=2)
         self.assertTrue(self.members.usable("peer-0"))
 
     def test_a_late_message_of_an_earlier_incarnation_says_nothing(self) -> None:
-        """A restarted agent looks as if it were leaving, long after it came up again.
+        """Guards against a restarted agent being treated as leaving long after its restart.
 
-        Its predecessor said so, over a connection whose last bytes arrive late.
+        Its previous incarnation reported leaving over a connection whose last bytes arrive late.
         """
-        self.members.heard("peer-0", incarnation=2)
-        self.assertFalse(self.members.heard("peer-0", incarnation=1, leaving=True))
+        self.members.record_heartbeat("peer-0", incarnation=2)
+        self.assertFalse(self.members.record_heartbeat("peer-0", incarnation=1, leaving=True))
         self.assertTrue(self.members.usable("peer-0"))
 
     def test_any_source_makes_a_peer_leaving(self) -> None:
-        self.members.heard("peer-0", incarnation=1, leaving=True)
-        self.members.listed(vm_list(2, self.names, leaving="peer-1"))
-        self.members.expect(member(name, leaving=name == "peer-2") for name in self.names)
+        self.members.record_heartbeat("peer-0", incarnation=1, leaving=True)
+        self.members.update_vm_list(vm_list(2, self.names, leaving="peer-1"))
+        self.members.set_peers(member(name, leaving=name == "peer-2") for name in self.names)
         for name in self.names[:3]:
             self.assertIs(self.members.state(name), MemberState.LEAVING)
             self.assertFalse(self.members.usable(name))
         self.assertEqual(self.members.leaving("peer-1"), {LeavingSource.VM_LIST})
-        self.members.heard("peer-0", incarnation=1, leaving=False)
+        self.members.record_heartbeat("peer-0", incarnation=1, leaving=False)
         self.assertIs(self.members.state("peer-0"), MemberState.LEAVING)
-        self.members.heard("peer-0", incarnation=2)
-        self.members.listed(vm_list(3, self.names))
+        self.members.record_heartbeat("peer-0", incarnation=2)
+        self.members.update_vm_list(vm_list(3, self.names))
         self.assertTrue(self.members.usable("peer-0"))
         self.assertTrue(self.members.usable("peer-1"))
 
     def test_after_a_pause_nothing_is_believed_and_nobody_blamed(self) -> None:
-        """An entry that was stopped for a minute evicts all of its peers, or trusts all of them.
+        """Guards against an entry evicting or trusting all of its peers after a one-minute pause.
 
-        To it every peer has been silent for a minute, those that left meanwhile included.
+        To the entry every peer was silent for a minute, including those that left during the pause.
         """
         self.members.failed("peer-8", "refused")
-        self.clock.advance(GONE_AFTER)
-        self.members.distrust()
+        self.clock.advance(GONE_AFTER_SECONDS)
+        self.members.reset_to_unconfirmed()
         self.members.evaluate()
-        self.assertFalse(self.members.confirmed())
+        self.assertFalse(self.members.mostly_confirmed())
         self.assertFalse(any(self.members.usable(name) for name in self.names))
         self.assertIs(self.members.state("peer-8"), MemberState.SUSPECT)
         for name in self.names[:5]:
-            self.members.heard(name, incarnation=1)
-        self.assertTrue(self.members.confirmed())
+            self.members.record_heartbeat(name, incarnation=1)
+        self.assertTrue(self.members.mostly_confirmed())
         self.assertTrue(self.members.usable("peer-0"))
         self.assertFalse(self.members.usable("peer-6"))
 
--- a/tests/test_fleet_watchers.py
+++ b/tests/test_fleet_watchers.py
@@ -51,7 +51,7 @@
 
     def test_agents_watch_before_entries_where_there_are_any(self) -> None:
         candidates = [Candidate(f"entry-{n}", "x") for n in range(4)]
-        candidates += [Candidate(f"agent-{n}", "x", light=True) for n in range(2)]
+        candidates += [Candidate(f"agent-{n}", "x", has_spare_capacity=True) for n in range(2)]
         chosen = choose_watchers(candidates)
         self.assertLess({"agent-0", "agent-1"}, chosen)
         self.assertEqual(len(chosen), 3)
--- a/tests/unguarded.py
+++ b/tests/unguarded.py
@@ -344,8 +344,8 @@
     from carawayhub.platform import client
 
     replace(client, "ANSWER_MARGIN", FOREVER)
-    replace(watchers, "SILENCE_MARGIN", FOREVER)
-    replace(vmsync, "SILENCE_MARGIN", FOREVER)
+    replace(watchers, "RESPONSE_MARGIN_SECONDS", FOREVER)
+    replace(vmsync, "RESPONSE_MARGIN_SECONDS", FOREVER)
 
 
 @guard("call-keepalive")
