--- a/benchmarks/fleet_memory.py
+++ b/benchmarks/fleet_memory.py
@@ -68,10 +68,10 @@
     sync = ConfigSync(peers, PlainAcceptor(), clock, rng)
     contents = _Contents()
     files = {f"{number:05}.json": contents.add(rng) for number in range(FILES)}
-    await sync.published(Manifest.of(1, files), contents)
+    await sync.apply_published(Manifest.of(1, files), contents)
     for version in range(2, 2 + CHANGES):
         files[f"{rng.randrange(FILES):05}.json"] = contents.add(rng)
-        await sync.published(Manifest.of(version, files), contents)
+        await sync.apply_published(Manifest.of(version, files), contents)
     return sync
 
 
@@ -106,7 +106,7 @@
         ListedVm(name=f"vm-{n}", state=VmState.LIVE, failure_domain=f"domain-{n % DOMAINS}")
         for n in range(ENTRIES + AGENTS)
     )
-    sync.take(VmList(number=1, vms=vms))
+    sync.apply(VmList(number=1, vms=vms))
     return sync
 
 
--- a/benchmarks/fleet_nodes.py
+++ b/benchmarks/fleet_nodes.py
@@ -155,7 +155,7 @@
         self.network.syncs[name] = node.sync
         if seeded:
             manifest = Manifest.of(self.service.version, self.service.files)
-            await node.sync.published(manifest, _Local(self.service.contents))
+            await node.sync.apply_published(manifest, _Local(self.service.contents))
         return node
 
     def stop(self, name: str) -> None:
@@ -213,7 +213,7 @@
                 await self._beat(node, peer)
                 await anyio.sleep(interval)
             except PeerError:
-                node.sync.forget(peer)
+                node.sync.remove_peer(peer)
                 await anyio.sleep(self.rng.uniform(0.2, LINK_SILENT))
 
     def _interval(self, node: FleetNode) -> float:
@@ -238,11 +238,13 @@
         beat = self.network.carry(name, peer, beat, Heartbeat)
         await self.network.travel(name, peer)
         other = self.network.reached(peer)
-        other.heard(name, VersionId(beat.version, beat.digest), beat.service_age)
+        other.record_peer_version(name, VersionId(beat.version, beat.digest), beat.service_age)
         reply = _reply(other, peer)
         reply = self.network.carry(peer, name, reply, HeartbeatReply)
         await self.network.travel(peer, name)
-        node.sync.heard(peer, VersionId(reply.version, reply.digest), reply.service_age)
+        node.sync.record_peer_version(
+            peer, VersionId(reply.version, reply.digest), reply.service_age
+        )
 
     def _lost(self) -> bool:
         return self.shape.loss > 0 and self.rng.random() < self.shape.loss
--- a/benchmarks/link_parts.py
+++ b/benchmarks/link_parts.py
@@ -217,7 +217,7 @@
     # A digest of full length in every message, without a configuration to check.
     knowledge.sync = ConfigSync(book, PlainAcceptor(), clock, rng)
     manifest = Manifest.of(VERSION, {FILE: digest_of(CONTENT)})
-    await knowledge.sync.published(manifest, _Content())
+    await knowledge.sync.apply_published(manifest, _Content())
     assert knowledge.sync.in_force.version == VERSION
     bench = BenchRole(role)
     exchange = PacedExchange(identity, knowledge, bench, book)
--- a/carawayhub/fleet/start.py
+++ b/carawayhub/fleet/start.py
@@ -86,7 +86,7 @@
 
     def report(self) -> StartReport:
         """Return what is known so far; operators see it while the process is not ready."""
-        answered = self._sync.answered() & self._peers()
+        answered = self._sync.reporting_peers() & self._peers()
         return StartReport(
             self._sync.in_force,
             self._sync.newest_known(),
@@ -116,7 +116,7 @@
         deadline = self._clock.monotonic() + PEERS_WAIT
         while True:
             peers = self._peers()
-            answered = len(self._sync.answered() & peers)
+            answered = len(self._sync.reporting_peers() & peers)
             if answered >= min(PEERS_WANTED, len(peers)):
                 return
             if answered and self._clock.monotonic() >= deadline:
@@ -141,4 +141,4 @@
 
     async def _wait(self) -> None:
         with anyio.move_on_after(POLL):
-            await self._sync.learned.wait()
+            await self._sync.updated.wait()
--- a/carawayhub/fleet/sync.py
+++ b/carawayhub/fleet/sync.py
@@ -1,16 +1,16 @@
-"""Keeps a process at the newest configuration that it can learn of.
+"""Keeps a process at the newest configuration version that any source offers.
 
-Each process tells in its heartbeats which version it has in force. One that hears of a newer
-version asks a peer that has it for the changed names and small contents in one call, checks every
-content and the whole version by digest, and lets the acceptor decide. Nothing older than what was
-in force is ever taken, from whichever side it comes.
+Each process announces the version it has in force in its heartbeats. A process that receives a
+newer version number requests the changed names and small contents from a peer that has the version,
+in one call. It verifies every content and the complete version by digest, and the acceptor decides.
+A version older than the one in force is never accepted, from any source.
 
-What the owner of a process calls:
+The owning process calls:
 
-* ``heard(peer, id, service_age)`` for each heartbeat or reply of a peer,
-* ``forget(peer)`` when a link to it is lost,
-* ``run()`` as a task: fetches what peers have,
-* ``published(manifest, service)`` from the watcher: fetches what the service has,
+* ``record_peer_version(peer, id, service_age)`` for each heartbeat or reply of a peer,
+* ``remove_peer(peer)`` when the link to it is lost,
+* ``run()`` as a task: fetches versions from peers,
+* ``apply_published(manifest, service)`` from the watcher: fetches from the service,
 * ``manifest(req)`` and ``files(req)`` to answer peers,
 * ``in_force``, ``service_age()`` for its own heartbeats, and ``changed`` to send them at once.
 """
@@ -47,19 +47,19 @@
 
 SERVICE = "service"
 NEVER = float("inf")
-REFUSALS_KEPT = 64
-NOTES_KEPT = 256
+MAX_REFUSED_VERSIONS = 64
+MAX_REPORTED_EVENTS = 256
 
 
 class ConfigSync:
-    """The configuration versions that one process knows of.
+    """Tracks and fetches the configuration versions known to one process.
 
     Args:
         peers: Calls to other processes.
         acceptor: Checks a complete version and puts it in force.
         clock: Source of time.
         rng: Chooses among peers that have the same version.
-        report: Takes what the audit trail should show.
+        report: Receives events for the audit trail.
     """
 
     __slots__ = (
@@ -68,9 +68,9 @@
         "_contents",
         "_fetching",
         "_files",
-        "_heard_service_at",
+        "_service_responded_at",
         "_history",
-        "_noted",
+        "_reported",
         "_peers",
         "_published",
         "_refused",
@@ -78,7 +78,7 @@
         "_rng",
         "_sources",
         "changed",
-        "learned",
+        "updated",
     )
 
     def __init__(
@@ -99,12 +99,12 @@
         self._files: dict[str, ConfigFile] = {}
         self._sources: dict[str, VersionId] = {}
         self._refused: dict[VersionId, CarawayhubError] = {}
-        self._noted: set[tuple[VersionId, VersionId]] = set()
+        self._reported: set[tuple[VersionId, VersionId]] = set()
         self._published = NOTHING
-        self._heard_service_at = -NEVER
+        self._service_responded_at = -NEVER
         self._fetching = anyio.Lock()
         self.changed = Signal()
-        self.learned = Signal()
+        self.updated = Signal()
 
     @property
     def in_force(self) -> VersionId:
@@ -112,56 +112,56 @@
         return self._history.current.id
 
     def watch_after(self) -> int:
-        """Return the version above which the service has something new for this process."""
+        """Return the version after which a version from the service is new to this process."""
         if self._wanted(self._published):
             return self.in_force.version
         return max(self.in_force.version, self._published.version)
 
     @property
     def refusals(self) -> dict[VersionId, CarawayhubError]:
-        """Versions that may not come into force and why, oldest first."""
+        """Refused versions with the reason, oldest first."""
         return dict(self._refused)
 
     def service_age(self) -> float:
-        """Return the seconds since this process, or a peer that told it, last heard the service."""
-        return self._clock.monotonic() - self._heard_service_at
+        """Return the seconds since the service last answered this process or a reporting peer."""
+        return self._clock.monotonic() - self._service_responded_at
 
-    def service_heard(self, age: float = 0.0) -> None:
-        """Note that the service answered somebody ``age`` seconds ago."""
-        self._heard_service_at = max(self._heard_service_at, self._clock.monotonic() - age)
+    def record_service_response(self, age: float = 0.0) -> None:
+        """Record that the service answered some process ``age`` seconds ago."""
+        self._service_responded_at = max(self._service_responded_at, self._clock.monotonic() - age)
 
     def newest_known(self) -> VersionId:
-        """Return the newest version that anybody told of and that was not refused."""
+        """Return the newest version reported by any source that was not refused."""
         known = list(self._sources.values())
         known += [self._published, self.in_force]
         return max((id for id in known if id not in self._refused), default=self.in_force)
 
-    def heard(self, peer: str, id: VersionId, service_age: float = NEVER) -> None:
-        """Take what a peer's heartbeat says it has in force."""
+    def record_peer_version(self, peer: str, id: VersionId, service_age: float = NEVER) -> None:
+        """Record the version in force that a peer announces in a heartbeat."""
         if service_age != NEVER:
-            self.service_heard(service_age)
+            self.record_service_response(service_age)
         known = self._sources.get(peer)
         if known == id:
             return
         self._sources[peer] = id
         self._check_conflict(id, peer)
         if known is None or self._wanted(id):
-            self.learned.notify()
+            self.updated.notify()
 
-    def forget(self, peer: str) -> None:
-        """Drop what is known of a peer whose link is lost."""
+    def remove_peer(self, peer: str) -> None:
+        """Remove the version of a peer whose link is lost."""
         self._sources.pop(peer, None)
 
-    def answered(self) -> frozenset[str]:
-        """Return the peers that have told their version and are still linked."""
+    def reporting_peers(self) -> frozenset[str]:
+        """Return the linked peers that have announced their version."""
         return frozenset(self._sources)
 
     def manifest(self, req: ManifestRequest) -> ManifestReply:
-        """Answer a peer that asks for what changed since its version."""
+        """Answer a peer's request for the changes since its version."""
         return answer(self._history, req, self._contents)
 
     def files(self, req: FilesRequest) -> FilesReply:
-        """Answer a peer that asks for contents."""
+        """Answer a peer's request for contents."""
         return self._contents.serve(req)
 
     async def run(self) -> None:
@@ -169,38 +169,38 @@
         while True:
             peer = self._newer_source()
             if peer is None:
-                await self.learned.wait()
+                await self.updated.wait()
                 continue
             await self._fetch_from(peer)
 
-    def note_published(self, manifest: Manifest) -> bool:
-        """Take which version the service serves, and return whether it is wanted."""
-        self.service_heard()
+    def record_published(self, manifest: Manifest) -> bool:
+        """Record the version that the service serves; return whether to fetch it."""
+        self.record_service_response()
         id = manifest.id
         self._check_conflict(id, SERVICE)
         if id.version < self.in_force.version:
-            # The service may serve an old version for long. Taking it would bring back what was
-            # changed since; the version in force stays, and peers hand it on.
-            self._note_stale(id)
+            # The service may serve an old version for a long time. Accepting it would revert later
+            # changes. The version in force is kept, and peers forward it.
+            self._report_stale(id)
             return False
         if id > self._published:
             self._published = id
-            self.learned.notify()
+            self.updated.notify()
         return self._wanted(id)
 
-    async def published(self, manifest: Manifest, service: ServiceFiles) -> None:
-        """Take what the service serves, fetching the files that are missing.
+    async def apply_published(self, manifest: Manifest, service: ServiceFiles) -> None:
+        """Apply the version that the service serves, after fetching its missing files.
 
         Raises:
-            PlatformError: The service did not give a file.
-            TimeoutError: Nor an error, in time.
+            PlatformError: The service did not return a file.
+            TimeoutError: The service did not answer in time.
         """
-        if not self.note_published(manifest):
+        if not self.record_published(manifest):
             return
         fetched = await self._fetch_missing(manifest, service)
         async with self._fetching:
             if self._wanted(manifest.id) and not self._missing(manifest):
-                await self._settle(manifest, SERVICE, fetched)
+                await self._accept(manifest, SERVICE, fetched)
 
     def _wanted(self, id: VersionId) -> bool:
         return id > self.in_force and id not in self._refused
@@ -221,8 +221,8 @@
                 await self._transfer(peer)
             except PeerError as exc:
                 self._report(FetchFailed(id, peer, str(exc)))
-                # Left as a source it would be asked again at once; its next heartbeat brings it
-                # back.
+                # If it stayed a source, it would be asked again at once. Its next heartbeat adds it
+                # again.
                 if self._sources.get(peer) == id:
                     del self._sources[peer]
 
@@ -236,11 +236,11 @@
             self._contents.add_packed(packed)
         missing = self._missing(manifest)
         await fetch_files(self._peers, peer, missing, self._contents)
-        await self._settle(manifest, peer, len(missing) + len(reply.contents))
+        await self._accept(manifest, peer, len(missing) + len(reply.contents))
 
     async def _fetch_missing(self, manifest: Manifest, service: ServiceFiles) -> int:
-        # The read budget may stretch this over a long time, so peers may bring the version, or a
-        # later one, meanwhile; the lock is left to them.
+        # With the read budget this may take long, and peers may deliver this or a later version
+        # meanwhile. The lock is not held, so that fetches from peers can proceed.
         fetched = 0
         for digest in self._missing(manifest):
             if not self._wanted(manifest.id):
@@ -254,7 +254,7 @@
         wanted = dict.fromkeys(manifest.files.values())
         return [digest for digest in wanted if digest not in self._contents]
 
-    async def _settle(self, manifest: Manifest, source: str, fetched: int) -> None:
+    async def _accept(self, manifest: Manifest, source: str, fetched: int) -> None:
         files = {name: self._file(name, digest) for name, digest in manifest.files.items()}
         try:
             await self._acceptor.accept(manifest.id.version, tuple(files.values()))
@@ -266,34 +266,36 @@
             self._report(VersionAccepted(manifest.id, source, fetched))
             self.changed.notify()
         self._contents.keep_only(self._history.current.files.values())
-        self.learned.notify()
+        self.updated.notify()
 
     def _file(self, name: str, digest: str) -> ConfigFile:
-        # A file in force has its digest worked out already; a new object would hash it again.
+        # The digest of a file in force is already computed; a new object would compute it again.
         if self._history.current.files.get(name) == digest:
             return self._files[name]
         return ConfigFile(name, self._contents.get(digest))
 
     def _refuse(self, id: VersionId, source: str, error: CarawayhubError) -> None:
-        # A refused version stays published until a better one comes. Without this record it would
-        # be fetched and checked again with every heartbeat.
+        # A refused version stays published until a newer one replaces it. Without this record it
+        # would be fetched and checked again with every heartbeat.
         self._refused[id] = error
-        if len(self._refused) > REFUSALS_KEPT:
+        if len(self._refused) > MAX_REFUSED_VERSIONS:
             del self._refused[next(iter(self._refused))]
         self._report(VersionRefused(id, source, error))
 
     def _check_conflict(self, id: VersionId, source: str) -> None:
         in_force = self.in_force
         if id.version == in_force.version and id.digest != in_force.digest:
-            self._report_once(in_force, id, VersionConflict(in_force, id, source))
+            self._report_unless_repeated(in_force, id, VersionConflict(in_force, id, source))
 
-    def _note_stale(self, id: VersionId) -> None:
-        self._report_once(self.in_force, id, ServiceStale(self.in_force, id))
+    def _report_stale(self, id: VersionId) -> None:
+        self._report_unless_repeated(self.in_force, id, ServiceStale(self.in_force, id))
 
-    def _report_once(self, in_force: VersionId, other: VersionId, event: SyncEvent) -> None:
-        if (in_force, other) in self._noted:
+    def _report_unless_repeated(
+        self, in_force: VersionId, other: VersionId, event: SyncEvent
+    ) -> None:
+        if (in_force, other) in self._reported:
             return
-        if len(self._noted) >= NOTES_KEPT:
-            self._noted.clear()
-        self._noted.add((in_force, other))
+        if len(self._reported) >= MAX_REPORTED_EVENTS:
+            self._reported.clear()
+        self._reported.add((in_force, other))
         self._report(event)
--- a/carawayhub/fleet/vmsync.py
+++ b/carawayhub/fleet/vmsync.py
@@ -1,12 +1,12 @@
-"""Hands the platform's list of VMs on between processes, as it does the configuration.
+"""Distributes the platform's VM list between processes, like the configuration.
 
-The list is read by the processes that watch the configuration, and reaches the others as changes
-between two lists. Were it read by each process, 6,180 waiting watches would alone be three times
-what the platform answers.
+The processes that watch the configuration read the list; the others receive it as the changes
+between two lists. If every process read it, 6,180 waiting watches alone would be three times the
+load that the platform can answer.
 
-What the owner of a process calls: ``heard(peer, number)`` for each heartbeat, ``forget(peer)``,
-``run()`` and ``watch()`` as tasks, ``manifest(req)`` to answer peers, ``number`` for its own
-heartbeats and ``changed`` to learn of a new list in ``current``.
+The owning process calls ``record_peer_list_number(peer, number)`` for each heartbeat,
+``remove_peer(peer)``, ``run()`` and ``watch()`` as tasks and ``manifest(req)`` to answer peers. It
+sends ``number`` in its heartbeats and waits on ``changed`` for a new list in ``current``.
 """
 
 import random
@@ -30,16 +30,16 @@
 from carawayhub.peers.signal import Signal
 from carawayhub.platform.ports import ListedVm, VmDirectory, VmList, VmState
 
-DUTY_CHECK = 2.0
+WATCHER_CHECK_SECONDS = 2.0
 
 
 class VmListSync:
-    """The newest list of VMs that one process knows of.
+    """Tracks the newest VM list known to one process.
 
     Args:
         peers: Calls to other processes.
-        directory: The platform's list.
-        is_watcher: Returns whether this process is one of those that watch.
+        directory: The platform's VM list.
+        is_watcher: Returns whether this process is one of the watchers.
         clock: Source of time.
         rng: Source of jitter and of the choice among peers.
     """
@@ -49,7 +49,7 @@
         "_clock",
         "_directory",
         "_history",
-        "_learned",
+        "_updated",
         "_no_contents",
         "_is_watcher",
         "_peers",
@@ -76,31 +76,31 @@
         self._history = History()
         self._no_contents = ContentStore()
         self._sources: dict[str, int] = {}
-        self._learned = Signal()
+        self._updated = Signal()
         self.changed = Signal()
         self.current: VmList | None = None
 
     @property
     def number(self) -> int:
-        """Number of the newest list, 0 for none."""
+        """Number of the newest list, 0 if there is none."""
         return self._history.current.id.version
 
-    def heard(self, peer: str, number: int) -> None:
-        """Take the number of the list that a peer's heartbeat names."""
+    def record_peer_list_number(self, peer: str, number: int) -> None:
+        """Record the list number that a peer announces in a heartbeat."""
         self._sources[peer] = number
         if number > self.number:
-            self._learned.notify()
+            self._updated.notify()
 
-    def forget(self, peer: str) -> None:
-        """Drop what is known of a peer whose link is lost."""
+    def remove_peer(self, peer: str) -> None:
+        """Remove the list number of a peer whose link is lost."""
         self._sources.pop(peer, None)
 
     def manifest(self, req: ManifestRequest) -> ManifestReply:
-        """Answer a peer that asks for what changed since its list."""
+        """Answer a peer's request for the changes since its list."""
         return answer(self._history, req, self._no_contents)
 
-    def take(self, vms: VmList) -> None:
-        """Take a list unless it is older; the platform may serve an old one for a while."""
+    def apply(self, vms: VmList) -> None:
+        """Apply a list unless it is older; the platform may serve an old list for a while."""
         states = {vm.name: _packed(vm) for vm in vms.vms}
         self._advance(Manifest(VersionId(vms.number, states_digest(states)), states), vms)
 
@@ -109,23 +109,25 @@
         while True:
             newer = [peer for peer, number in self._sources.items() if number > self.number]
             if not newer:
-                await self._learned.wait()
+                await self._updated.wait()
                 continue
             await self._fetch_from(self._rng.choice(newer))
 
     async def watch(self) -> None:
-        """Watch the platform's list while this process is on duty, until cancelled."""
+        """Watch the platform's list while this process is a watcher, until cancelled."""
         while True:
             if not self._is_watcher():
-                await anyio.sleep(self._rng.uniform(DUTY_CHECK / 2, DUTY_CHECK))
+                await anyio.sleep(
+                    self._rng.uniform(WATCHER_CHECK_SECONDS / 2, WATCHER_CHECK_SECONDS)
+                )
                 continue
             await anyio.sleep(await self._watch_once())
 
     async def read(self) -> bool:
-        """Read the list once, as at the start; return whether the platform answered."""
+        """Read the list once, for the start; return whether the platform answered."""
         try:
             with anyio.fail_after(RESPONSE_MARGIN_SECONDS):
-                self.take(await self._directory.vms(0, 0.0))
+                self.apply(await self._directory.vms(0, 0.0))
         except (PlatformError, TimeoutError):
             return False
         return True
@@ -133,9 +135,9 @@
     async def _watch_once(self) -> float:
         asked_at, before = self._clock.monotonic(), self.number
         try:
-            # A connection that went silent is given up and a new one used; see BudgetedService.
+            # The timeout replaces a connection that went silent; see BudgetedService.
             with anyio.fail_after(WATCH_WAIT_SECONDS + RESPONSE_MARGIN_SECONDS):
-                self.take(await self._directory.vms(before, WATCH_WAIT_SECONDS))
+                self.apply(await self._directory.vms(before, WATCH_WAIT_SECONDS))
         except (PlatformError, TimeoutError):
             return self._backoff.next()
         self._backoff.reset()
--- a/carawayhub/fleet/watchers.py
+++ b/carawayhub/fleet/watchers.py
@@ -249,7 +249,7 @@
             min(MAX_PEER_WAIT_SECONDS, self._published_files * PEER_WAIT_SECONDS_PER_FILE)
         ):
             while self._sync.in_force.version == 0:
-                await self._sync.learned.wait()
+                await self._sync.updated.wait()
         return True
 
     async def _watch(self) -> None:
@@ -274,7 +274,7 @@
         try:
             published = await self.service.manifest(0, 0.0)
             self._published_files = len(published.files)
-            self._sync.note_published(Manifest.of(published.version, published.files))
+            self._sync.record_published(Manifest.of(published.version, published.files))
         except (CarawayhubError, TimeoutError, ValueError):
             return False
         return True
@@ -284,7 +284,7 @@
         try:
             published = await self.service.manifest(after, wait)
             manifest = Manifest.of(published.version, published.files)
-            await self._sync.published(manifest, self.service)
+            await self._sync.apply_published(manifest, self.service)
         except (CarawayhubError, TimeoutError, ValueError):
             return False
         return True
--- a/carawayhub/process/exchange.py
+++ b/carawayhub/process/exchange.py
@@ -111,8 +111,8 @@
         knowledge = self._knowledge
         self._echoes[peer.key] = reply.pauses
         version = VersionId(reply.version, reply.digest)
-        knowledge.sync.heard(peer.key, version, reply.service_age)
-        knowledge.vms.heard(peer.key, reply.vms)
+        knowledge.sync.record_peer_version(peer.key, version, reply.service_age)
+        knowledge.vms.record_peer_list_number(peer.key, reply.vms)
         if not knowledge.membership.record_heartbeat(peer.key, reply.incarnation, reply.leaving):
             return
         if reply.sequence:
@@ -123,8 +123,8 @@
 
     def link_lost(self, peer: Peer, reason: str) -> None:
         """Note that a new connection to ``peer`` failed as well."""
-        self._knowledge.sync.forget(peer.key)
-        self._knowledge.vms.forget(peer.key)
+        self._knowledge.sync.remove_peer(peer.key)
+        self._knowledge.vms.remove_peer(peer.key)
         self._knowledge.membership.failed(peer.key, reason)
         self._role.lost(peer)
 
@@ -155,8 +155,8 @@
         self._inbound[key] = _Inbound(peer, self._clock.monotonic())
         self._drop_silent()
         version = VersionId(heartbeat.version, heartbeat.digest)
-        knowledge.sync.heard(key, version, heartbeat.service_age)
-        knowledge.vms.heard(key, heartbeat.vms)
+        knowledge.sync.record_peer_version(key, version, heartbeat.service_age)
+        knowledge.vms.record_peer_list_number(key, heartbeat.vms)
         knowledge.membership.record_heartbeat(key, peer.incarnation, heartbeat.leaving)
         if self._identity.role is ProcessRole.AGENT:
             # An agent opens no links. A heartbeat may have lain in the socket for as long as the
@@ -170,8 +170,8 @@
         for key in [key for key, each in self._inbound.items() if each.heard_at < oldest]:
             del self._inbound[key]
             if key not in self._opened:
-                self._knowledge.sync.forget(key)
-                self._knowledge.vms.forget(key)
+                self._knowledge.sync.remove_peer(key)
+                self._knowledge.vms.remove_peer(key)
 
     def _distrust_after_pause(self) -> None:
         pauses = self._knowledge.pauses
--- a/carawayhub/process/member.py
+++ b/carawayhub/process/member.py
@@ -252,7 +252,7 @@
         except PeerError:
             return
         if reply.version:
-            self.knowledge.sync.heard(key, VersionId(reply.version, reply.digest))
+            self.knowledge.sync.record_peer_version(key, VersionId(reply.version, reply.digest))
 
     def _configured(self, cfg: Configuration) -> None:
         if self._role is not None:
@@ -299,8 +299,8 @@
         exchange.opening(opened)
         for peer in self._links.want(opened.values()):
             if peer.key not in opened:
-                self.knowledge.sync.forget(peer.key)
-                self.knowledge.vms.forget(peer.key)
+                self.knowledge.sync.remove_peer(peer.key)
+                self.knowledge.vms.remove_peer(peer.key)
                 self._role.lost(peer)
 
     def _known_peers(self) -> frozenset[str]:
--- a/tests/test_fleet_pauses.py
+++ b/tests/test_fleet_pauses.py
@@ -1,4 +1,4 @@
-"""How a process notices that it was paused."""
+"""Tests that a process detects that it was paused."""
 
 import random
 import unittest
@@ -28,13 +28,13 @@
 
 
 class PauseTest(unittest.TestCase):
-    """The first check after a pause must tell, whichever code comes first."""
+    """The first check after a pause must report it, whichever code runs first."""
 
     def test_the_first_check_after_a_pause_tells(self) -> None:
-        """A request goes to an endpoint that left ten seconds ago.
+        """Guards against sending a request to an endpoint that left ten seconds ago.
 
         The VM of an entry is suspended between the choice of an endpoint and the dispatch, and
-        wakes up believing what it knew. No timer has run yet when the dispatch comes.
+        resumes with a stale view. No timer has run yet at the dispatch.
         """
         clock = ManualClock()
         pauses = PauseDetector(clock, BOTH)
@@ -54,10 +54,10 @@
         self.assertFalse(pauses.check())
 
     def test_a_check_that_was_itself_paused_confirms_nothing(self) -> None:
-        """An entry is stopped twice, the second time while it asks its peers what is in force.
+        """Guards against confirming a view with an answer sent before a second pause.
 
-        The answer was given before the second stop. Taken as a confirmation it would make what is
-        twenty seconds old look fresh.
+        An entry is paused twice, the second time while it asks its peers for the version in force.
+        Accepting the answer would make a view that is twenty seconds old appear current.
         """
         clock = ManualClock()
         pauses = PauseDetector(clock, BOTH)
@@ -69,7 +69,7 @@
         self.assertEqual(pauses.unconfirmed(), BOTH)
 
     def test_a_quiet_process_that_ticks_was_not_paused(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             pauses = PauseDetector(LoopClock(), BOTH)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(pauses.run)
@@ -77,21 +77,21 @@
                 self.assertFalse(pauses.check())
                 tasks.cancel_scope.cancel()
 
-        run(story)
+        run(scenario)
 
 
 class EchoTest(unittest.TestCase):
-    """What an agent, which opens no links, takes for a sign that its configuration is current."""
+    """Which heartbeats confirm the configuration of an agent, which opens no links itself."""
 
     def test_heartbeats_that_waited_in_the_socket_confirm_nothing(self) -> None:
-        """An agent that was stopped for 20 s runs a booking for an endpoint that has left.
+        """Guards against an agent paused for 20 s running a booking for an endpoint that left.
 
-        Heartbeats sent during the stop waited in its socket. They name the version that it has in
-        force, as if nothing newer existed. Only one that repeats the count of pauses, which the
-        agent's reply after the stop tells, was sent after it.
+        Heartbeats sent during the pause waited in its socket and name its version in force, as if
+        no newer one existed. Only a heartbeat that echoes the pause count from the agent's first
+        reply after the pause was sent after it.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             clock = ManualClock()
             exchange, knowledge = agent(clock)
             exchange.reply(ENTRY, heartbeat(1, echo=0))
@@ -102,12 +102,12 @@
             exchange.reply(ENTRY, heartbeat(40, echo=reply.pauses))
             self.assertFalse(knowledge.pauses.check())
 
-        run(story)
+        run(scenario)
 
     def test_peer_that_knows_less_confirms_nothing(self) -> None:
-        """Guards against the word of a peer that has just started, or is cut off as well."""
+        """Guards against accepting a message of a peer that just started or is isolated too."""
 
-        async def story() -> None:
+        async def scenario() -> None:
             clock = ManualClock()
             exchange, knowledge = agent(clock)
             knowledge.sync._history.advance(Manifest.of(3, {}))
@@ -119,7 +119,7 @@
             exchange.reply(ENTRY, heartbeat(3, reply.pauses, 3))
             self.assertFalse(knowledge.pauses.check())
 
-        run(story)
+        run(scenario)
 
 
 def heartbeat(sequence: int, echo: int, version: int = 0) -> Heartbeat:
--- a/tests/test_fleet_sync.py
+++ b/tests/test_fleet_sync.py
@@ -1,4 +1,4 @@
-"""How a process comes to the newest configuration and never goes back."""
+"""Tests that a process reaches the newest configuration and never returns to an older one."""
 
 import random
 import unittest
@@ -28,7 +28,7 @@
 
 
 class Fleet:
-    """Processes of one test by name, each with its synchronisation running."""
+    """The processes of one test, by name, each with its own ConfigSync."""
 
     def __init__(self, *names: str) -> None:
         self.clock = LoopClock()
@@ -59,12 +59,12 @@
     async def read(self, name: str) -> None:
         reader = self.service.reader(name)
         served = await reader.manifest(0, 0)
-        await self[name].published(Manifest.of(served.version, served.files), reader)
+        await self[name].apply_published(Manifest.of(served.version, served.files), reader)
 
-    def tell(self, sender: str, receiver: str) -> None:
-        self[receiver].heard(sender, self[sender].in_force)
+    def send_version(self, sender: str, receiver: str) -> None:
+        self[receiver].record_peer_version(sender, self[sender].in_force)
 
-    def heard(self, name: str, kind: type) -> list[SyncEvent]:
+    def events_of(self, name: str, kind: type) -> list[SyncEvent]:
         return [event for event in self.events[name] if isinstance(event, kind)]
 
     async def running(self, *names: str, then: Callable[[], Awaitable[None]]) -> None:
@@ -76,35 +76,35 @@
 
 
 class SyncTest(unittest.TestCase):
-    """What becomes of each version that a process hears of."""
+    """How a process handles each version that it receives."""
 
     def test_a_change_crosses_as_one_small_file(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             fleet = Fleet("a", "b")
             large = {f"{number:03}.json": bytes([number]) * 5_000 for number in range(200)}
             await fleet.publish_at("a", 1, large)
 
             async def steps() -> None:
-                fleet.tell("a", "b")
+                fleet.send_version("a", "b")
                 await until(lambda: fleet["b"].in_force.version == 1)
                 before = fleet.network.traffic["b"].bytes
                 await fleet.publish_at("a", 2, {"200.json": b"{}"})
-                fleet.tell("a", "b")
+                fleet.send_version("a", "b")
                 await until(lambda: fleet["b"].in_force.version == 2)
                 self.assertLess(fleet.network.traffic["b"].bytes - before, 1_000)
 
             await fleet.running("b", then=steps)
             self.assertEqual(fleet["b"].in_force, fleet["a"].in_force)
 
-        run(story)
+        run(scenario)
 
     def test_a_file_of_a_megabyte_crosses_in_bounded_messages(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             fleet = Fleet("a", "b")
             await fleet.publish_at("a", 1, {"x.json": noise(1_000_000), "y.json": noise(90_000)})
 
             async def steps() -> None:
-                fleet.tell("a", "b")
+                fleet.send_version("a", "b")
                 await until(lambda: fleet["b"].in_force.version == 1)
 
             await fleet.running("b", then=steps)
@@ -113,16 +113,16 @@
             self.assertGreater(fleet.network.traffic["b"].bytes, 1_090_000)
             self.assertLess(fleet.network.largest, MAX_MESSAGE_BYTES)
 
-        run(story)
+        run(scenario)
 
     def test_a_stale_service_brings_nothing_back(self) -> None:
-        """An operator's change vanishes some minutes after it was in force.
+        """Guards against reverting an operator's change minutes after it came into force.
 
-        The service fails over to a copy that lags and serves version 1 after version 2. A process
-        that took what the service serves would put version 1 back in force.
+        The service fails over to a lagging copy and serves version 1 after version 2. A process
+        that accepted it would put version 1 back in force.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             fleet = Fleet("a")
             await fleet.publish_at("a", 1, ONE)
             old = dict(fleet.service.files)
@@ -131,18 +131,18 @@
             await fleet.read("a")
             await fleet.read("a")
             self.assertEqual(fleet.acceptors["a"].versions, [1, 2])
-            self.assertEqual(len(fleet.heard("a", ServiceStale)), 1)
+            self.assertEqual(len(fleet.events_of("a", ServiceStale)), 1)
 
-        run(story)
+        run(scenario)
 
     def test_a_restarted_process_takes_the_newest_from_peers(self) -> None:
-        """An entry that was replaced serves an older configuration than its neighbours.
+        """Guards against a replaced entry serving an older configuration than its neighbours.
 
         The service serves version 1 while the fleet has version 2 in force. The new process reads
-        the service first and hears a peer later.
+        the service first and receives a peer's version later.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             fleet = Fleet("a", "b")
             await fleet.publish_at("a", 1, ONE)
             old = dict(fleet.service.files)
@@ -151,23 +151,23 @@
 
             async def steps() -> None:
                 await fleet.read("b")
-                fleet.tell("a", "b")
+                fleet.send_version("a", "b")
                 await until(lambda: fleet["b"].in_force.version == 2)
                 await fleet.read("b")
 
             await fleet.running("b", then=steps)
             self.assertEqual(fleet["b"].in_force, fleet["a"].in_force)
 
-        run(story)
+        run(scenario)
 
     def test_a_healed_partition_ends_at_the_newest_version(self) -> None:
-        """Two regions lose each other while both sides go on, and meet again.
+        """Guards against the older version winning after a partition between two regions heals.
 
-        One side saw versions 2 and 3, the other only 1. When they meet each tells the other its
-        version, and the older must not win on either side.
+        One side received versions 2 and 3, the other only 1. After the partition each announces
+        its version to the other.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             fleet = Fleet("a", "b")
             await fleet.publish_at("a", 1, ONE)
             await fleet.publish_at("b", 1, ONE)
@@ -175,23 +175,24 @@
             await fleet.publish_at("a", 3, {"10-entries.json": b"{ }"})
 
             async def steps() -> None:
-                fleet.tell("b", "a")
-                fleet.tell("a", "b")
+                fleet.send_version("b", "a")
+                fleet.send_version("a", "b")
                 await until(lambda: fleet["b"].in_force.version == 3)
 
             await fleet.running("a", "b", then=steps)
             self.assertEqual(fleet.acceptors["a"].versions, [1, 2, 3])
             self.assertEqual(fleet.acceptors["b"].versions, [1, 3])
 
-        run(story)
+        run(scenario)
 
     def test_a_refused_version_is_fetched_and_checked_once(self) -> None:
-        """A bad file is published and stays there until somebody mends it.
+        """Guards against fetching and checking a refused version again and again.
 
-        Each read of the service and each heartbeat of a peer would fetch and check it again.
+        A bad file stays published until an operator corrects it. Each read of the service and each
+        heartbeat of a peer would otherwise fetch and check it.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             fleet = Fleet("a")
             await fleet.publish_at("a", 1, ONE)
             await fleet.publish_at("a", 2, {"30-bad.json": BAD})
@@ -199,64 +200,64 @@
                 await fleet.read("a")
             self.assertEqual(fleet["a"].in_force.version, 1)
             self.assertEqual(fleet.acceptors["a"].checked, 2)
-            self.assertEqual(len(fleet.heard("a", VersionRefused)), 1)
+            self.assertEqual(len(fleet.events_of("a", VersionRefused)), 1)
             self.assertEqual(fleet["a"].newest_known().version, 1)
             await fleet.publish_at("a", 3, {"30-bad.json": b"{}"})
             self.assertEqual(fleet["a"].in_force.version, 3)
 
-        run(story)
+        run(scenario)
 
     def test_one_number_with_two_contents_is_reported_and_settled(self) -> None:
-        """Two operators publish version 2 at once, and the service shows each to some readers.
+        """Guards against a fleet split between two contents with the same version number.
 
-        Without a rule half of the fleet would keep one content and half the other until the next
-        version. Both are reported, and all end with the one of the greater digest.
+        Two operators publish version 2 at once, and the service returns each to some readers.
+        Without a rule both contents would stay until the next version. The conflict is reported,
+        and all processes end with the content of the greater digest.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             fleet = Fleet("a", "b")
             await fleet.publish_at("a", 2, {"x.json": b"1"})
             fleet.service.serve(0, {})
             await fleet.publish_at("b", 2, {"x.json": b"2"})
 
             async def steps() -> None:
-                fleet.tell("a", "b")
-                fleet.tell("b", "a")
+                fleet.send_version("a", "b")
+                fleet.send_version("b", "a")
                 await until(lambda: fleet["a"].in_force == fleet["b"].in_force)
 
             await fleet.running("a", "b", then=steps)
             digests = [manifest_digest({"x.json": digest_of(text)}) for text in (b"1", b"2")]
             self.assertEqual(fleet["a"].in_force, VersionId(2, max(digests)))
-            self.assertTrue(fleet.heard("a", VersionConflict))
-            self.assertTrue(fleet.heard("b", VersionConflict))
+            self.assertTrue(fleet.events_of("a", VersionConflict))
+            self.assertTrue(fleet.events_of("b", VersionConflict))
 
-        run(story)
+        run(scenario)
 
     def test_a_peer_that_does_not_answer_is_left_for_another(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             fleet = Fleet("a", "b", "c")
             await fleet.publish_at("a", 1, ONE)
             await fleet.publish_at("c", 1, ONE)
             fleet.network.unreachable.add("a")
 
             async def steps() -> None:
-                fleet.tell("a", "b")
-                await until(lambda: bool(fleet.heard("b", FetchFailed)))
-                fleet.tell("c", "b")
+                fleet.send_version("a", "b")
+                await until(lambda: bool(fleet.events_of("b", FetchFailed)))
+                fleet.send_version("c", "b")
                 await until(lambda: fleet["b"].in_force.version == 1)
 
             await fleet.running("b", then=steps)
 
-        run(story)
+        run(scenario)
 
     def test_a_slow_read_of_the_service_does_not_hold_up_peers(self) -> None:
-        """A change reaches all but one process, which lags by minutes.
+        """Guards against a process lagging by minutes because it reads slowly from the service.
 
-        It reads many files from the service within a small read budget. A peer has them all, but
-        the process finishes the slow way first.
+        It reads many files within a small read budget, although a peer has all of them.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             fleet = Fleet("a", "b")
             many = {f"{number}.json": bytes([number]) for number in range(200)}
             await fleet.publish_at("a", 1, many)
@@ -270,19 +271,19 @@
             async def steps() -> None:
                 async with anyio.create_task_group() as tasks:
                     manifest = Manifest.of(1, fleet.service.files)
-                    tasks.start_soon(fleet["b"].published, manifest, Slow())
+                    tasks.start_soon(fleet["b"].apply_published, manifest, Slow())
                     await anyio.sleep(1)
-                    fleet.tell("a", "b")
+                    fleet.send_version("a", "b")
                     await until(lambda: fleet["b"].in_force.version == 1)
                     self.assertLess(fleet.clock.monotonic(), 15)
 
             await fleet.running("b", then=steps)
 
-        run(story)
+        run(scenario)
 
 
 class CompressionTest(unittest.TestCase):
-    """What a damaged or hostile content may cost."""
+    """Limits on decompressing damaged or hostile contents."""
 
     def test_a_content_that_swells_is_refused(self) -> None:
         self.assertEqual(unpack(pack(bytes(CONTENT_BYTES)), CONTENT_BYTES), bytes(CONTENT_BYTES))
@@ -292,7 +293,7 @@
 
 
 class HistoryTest(unittest.TestCase):
-    """Deltas between remembered versions."""
+    """Deltas between versions in the history."""
 
     @settings(derandomize=True, max_examples=150)
     @given(st.lists(FILES, min_size=1, max_size=8), st.integers(0, 7))
@@ -311,7 +312,7 @@
         self.assertEqual(direct.apply(base.files), manifests[-1].files)
 
     def test_an_unknown_base_gets_the_whole_manifest(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             fleet = Fleet("a")
             await fleet.publish_at("a", 1, ONE)
             req = ManifestRequest(
@@ -321,7 +322,7 @@
             self.assertEqual(reply.base_version, 0)
             self.assertEqual(dict(reply.changed), dict(fleet.service.files))
 
-        run(story)
+        run(scenario)
 
 
 def noise(size: int) -> bytes:
--- a/tests/test_fleet_watchers.py
+++ b/tests/test_fleet_watchers.py
@@ -1,4 +1,4 @@
-"""Who watches the platform's service, and what becomes of a watch that fails."""
+"""Tests of the choice of watchers of the platform's service, and of failing watches."""
 
 import random
 import unittest
@@ -19,7 +19,7 @@
 
 
 class Process:
-    """One process: its synchronisation, its watcher and its start."""
+    """A process with its ConfigSync, watcher and startup."""
 
     def __init__(self, name: str, network: FakeNetwork, service: FakeService) -> None:
         self.name = name
@@ -61,13 +61,13 @@
     """One watching process."""
 
     def test_a_silent_watch_is_replaced(self) -> None:
-        """Changes stop arriving at a process though the service is well.
+        """Guards against missing all changes although the service is healthy.
 
-        A firewall lost track of the connection of its watch: neither an answer nor an error will
-        ever come. The version published meanwhile must come over a new connection.
+        A firewall dropped the state of the watch's connection: neither a response nor an error will
+        arrive. The version published meanwhile must be received over a new connection.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             service, process = watching()
             service.publish(1, ONE)
             async with anyio.create_task_group() as tasks:
@@ -80,21 +80,21 @@
                 self.assertEqual(process.sync.in_force.version, 2)
                 tasks.cancel_scope.cancel()
 
-        run(story)
+        run(scenario)
 
     def test_a_service_that_answers_with_nothing_new_is_not_hammered(self) -> None:
-        """One reader spends the read budget of the whole fleet.
+        """Guards against one reader using up the read budget of the complete fleet.
 
         A stale service serves version 1 to a process that has 5 in force, and answers each watch at
-        once, since what it has is not what was asked for.
+        once, because its version differs from the requested one.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             service, process = watching()
             service.publish(1, ONE)
             manifest = Manifest(VersionId(1, "00"), {})
             process.sync._history.advance(Manifest(VersionId(5, "05"), {}))
-            self.assertFalse(process.sync.note_published(manifest))
+            self.assertFalse(process.sync.record_published(manifest))
             reader = process.watcher.service
 
             class AnswersAtOnce:
@@ -111,10 +111,10 @@
             self.assertLess(service.calls["a"], 61)
             self.assertEqual(process.sync.in_force.version, 5)
 
-        run(story)
+        run(scenario)
 
     def test_a_service_that_is_down_is_asked_ever_more_seldom(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             service, process = watching()
             service.down = True
             async with anyio.create_task_group() as tasks:
@@ -127,39 +127,39 @@
                 self.assertEqual(process.sync.in_force.version, 1)
                 tasks.cancel_scope.cancel()
 
-        run(story)
+        run(scenario)
 
     def test_one_that_hears_of_no_watcher_reads_for_itself(self) -> None:
-        """Processes in a cut-off rack stay at an old version although the service is in reach.
+        """Guards against an isolated rack staying at an old version with the service reachable.
 
-        None of those chosen to watch is in the rack, so no change ever comes from a peer.
+        None of the chosen watchers is in the rack, so no change is received from a peer.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             service, process = watching(chosen=False)
             service.publish(1, ONE)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(process.watcher.run)
-                process.sync.service_heard()
+                process.sync.record_service_response()
                 await anyio.sleep(15)
                 self.assertEqual(service.calls["a"], 0)
                 await anyio.sleep(75)
                 self.assertEqual(process.sync.in_force.version, 1)
                 tasks.cancel_scope.cancel()
 
-        run(story)
+        run(scenario)
 
 
 class StartTest(unittest.TestCase):
-    """What a starting process waits for."""
+    """Conditions for a starting process to become ready."""
 
     def test_it_is_ready_with_the_newest_of_peers_and_service(self) -> None:
-        """A replaced entry serves callers by an old configuration for its first seconds.
+        """Guards against a replaced entry using an old configuration for its first seconds.
 
         The service is stale. The peer that has the newer version answers only after the service.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             service, old = watching()
             service.publish(1, ONE)
             async with anyio.create_task_group() as tasks:
@@ -173,17 +173,17 @@
                 new.watcher.update([Candidate("b", "x")])
                 tasks.start_soon(new.sync.run)
                 tasks.start_soon(new.watcher.run)
-                tasks.start_soon(self._tell_later, new, old)
+                tasks.start_soon(self._send_version_later, new, old)
                 report = await new.starting("a", "c").run()
                 self.assertEqual(report.in_force.version, 2)
                 self.assertEqual(report.answered, ("a",))
                 self.assertEqual(report.unreached, ("c",))
                 tasks.cancel_scope.cancel()
 
-        run(story)
+        run(scenario)
 
     def test_it_is_not_ready_before_any_peer_answered(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             service, process = watching()
             service.publish(1, ONE)
             async with anyio.create_task_group() as tasks:
@@ -193,21 +193,20 @@
                     await start.run()
                 self.assertTrue(scope.cancelled_caught)
                 self.assertEqual(start.report().unreached, ("b",))
-                process.sync.heard("b", VersionId())
+                process.sync.record_peer_version("b", VersionId())
                 await start.run()
                 tasks.cancel_scope.cancel()
 
-        run(story)
+        run(scenario)
 
     def test_a_failure_domain_that_restarts_reads_few_files(self) -> None:
-        """The service breaks down after a power cut in one failure domain.
+        """Guards against overloading the service after a power cut in one failure domain.
 
-        Forty processes start at once, none of which knows the others, and each takes itself for
-        the one that watches. All files are with peers elsewhere, whose links come up a second
-        later.
+        Forty processes start at once, none knows the others, and each considers itself the watcher.
+        Peers in other domains have all files; their links are established a second later.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             service, old = watching()
             service.publish(1, {f"{number}.json": bytes([number]) for number in range(200)})
             async with anyio.create_task_group() as tasks:
@@ -221,17 +220,17 @@
                     tasks.start_soon(process.watcher.run)
                 await anyio.sleep(1)
                 for process in fresh:
-                    process.sync.heard("a", old.sync.in_force)
+                    process.sync.record_peer_version("a", old.sync.in_force)
                 for process in fresh:
                     await until_in_force(process, 1)
                 self.assertEqual(service.file_calls.total(), 0)
                 self.assertLess(service.peak(), 120)
                 tasks.cancel_scope.cancel()
 
-        run(story)
+        run(scenario)
 
     def test_with_the_service_down_peers_suffice(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             service, old = watching()
             service.publish(1, ONE)
             async with anyio.create_task_group() as tasks:
@@ -240,34 +239,34 @@
                 service.down = True
                 new = Process("b", NETWORKS[-1], service)
                 tasks.start_soon(new.sync.run)
-                new.sync.heard("a", old.sync.in_force)
+                new.sync.record_peer_version("a", old.sync.in_force)
                 report = await new.starting("a").run()
                 self.assertEqual(report.in_force.version, 1)
                 self.assertFalse(report.service_answered)
                 tasks.cancel_scope.cancel()
 
-        run(story)
+        run(scenario)
 
-    async def _tell_later(self, new: Process, old: Process) -> None:
+    async def _send_version_later(self, new: Process, old: Process) -> None:
         await anyio.sleep(3)
-        new.sync.heard("a", old.sync.in_force)
+        new.sync.record_peer_version("a", old.sync.in_force)
 
 
 class VmListTest(unittest.TestCase):
-    """The list of VMs on its way between two processes."""
+    """Distribution of the VM list between two processes."""
 
     def test_a_change_reaches_a_peer_and_an_old_list_does_not(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             network = FakeNetwork(LoopClock())
             syncs = {name: self._sync(network, name) for name in "ab"}
             network.syncs = syncs  # type: ignore[assignment]
-            syncs["a"].take(listing(1, "vm-1", "vm-2"))
-            syncs["a"].take(listing(3, "vm-1", "vm-3", leaving="vm-1"))
-            syncs["a"].take(listing(2, "vm-2"))
+            syncs["a"].apply(listing(1, "vm-1", "vm-2"))
+            syncs["a"].apply(listing(3, "vm-1", "vm-3", leaving="vm-1"))
+            syncs["a"].apply(listing(2, "vm-2"))
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(syncs["b"].run)
-                syncs["b"].take(listing(1, "vm-1", "vm-2"))
-                syncs["b"].heard("a", syncs["a"].number)
+                syncs["b"].apply(listing(1, "vm-1", "vm-2"))
+                syncs["b"].record_peer_list_number("a", syncs["a"].number)
                 await syncs["b"].changed.wait()
                 tasks.cancel_scope.cancel()
             current = syncs["b"].current
@@ -275,7 +274,7 @@
             states = {vm.name: vm.state for vm in current.vms}
             self.assertEqual(states, {"vm-1": VmState.LEAVING, "vm-3": VmState.LIVE})
 
-        run(story)
+        run(scenario)
 
     def _sync(self, network: FakeNetwork, name: str) -> VmListSync:
         class NoDirectory:
--- a/tests/unguarded.py
+++ b/tests/unguarded.py
@@ -294,7 +294,7 @@
 def _vm_list_from_peers() -> None:
     from carawayhub.fleet.vmsync import VmListSync
 
-    replace(VmListSync, "heard", lambda self, peer, number: None)
+    replace(VmListSync, "record_peer_list_number", lambda self, peer, number: None)
 
 
 @guard("stopping-agent-leaves")
@@ -395,7 +395,7 @@
         return id != self.in_force and id not in self._refused and id.version > 0
 
     replace(ConfigSync, "_wanted", any_other)
-    replace(ConfigSync, "note_published", lambda self, manifest: self._wanted(manifest.id))
+    replace(ConfigSync, "record_published", lambda self, manifest: self._wanted(manifest.id))
     offer = HighWater.offer
 
     def forgetful(self: Any, version: int, files: Any) -> Any:
@@ -414,7 +414,7 @@
         return
 
     replace(Startup, "_hear_peers", no_wait)
-    replace(ConfigSync, "heard", lambda self, peer, id, service_age=0.0: None)
+    replace(ConfigSync, "record_peer_version", lambda self, peer, id, service_age=0.0: None)
 
 
 @guard("check-of-a-version")
