--- a/carawayhub/fleet/acceptor.py
+++ b/carawayhub/fleet/acceptor.py
@@ -1,4 +1,4 @@
-"""Lets ``HighWater`` decide on the versions that the synchronisation brings."""
+"""Passes versions from the synchronisation to ``HighWater``, which decides on them."""
 
 from collections.abc import Callable
 
@@ -15,8 +15,8 @@
     """Offers each complete version to ``HighWater``.
 
     Args:
-        high_water: Keeps the version in force; nothing else may offer to it meanwhile.
-        decided: Takes each verdict, in the event loop.
+        high_water: Holds the version in force; no other caller may offer versions to it.
+        decided: Called with each verdict, in the event loop.
     """
 
     __slots__ = ("_decided", "_high_water")
--- a/carawayhub/fleet/budget.py
+++ b/carawayhub/fleet/budget.py
@@ -1,4 +1,4 @@
-"""Bounds on how often a process reads from the platform and how soon it tries again."""
+"""Rate limit and retry backoff for reads from the platform."""
 
 import random
 
@@ -6,8 +6,8 @@
 
 from carawayhub.clock import Clock
 
-FIRST_PAUSE = 0.5
-LONGEST_PAUSE = 30.0
+FIRST_PAUSE_SECONDS = 0.5
+MAX_PAUSE_SECONDS = 30.0
 MAX_DOUBLINGS = 16
 
 
@@ -20,23 +20,23 @@
         clock: Source of time.
     """
 
-    __slots__ = ("_at", "_burst", "_clock", "_rate", "_tokens")
+    __slots__ = ("_refilled_at", "_burst", "_clock", "_rate", "_tokens")
 
     def __init__(self, rate: float, burst: float, clock: Clock) -> None:
         self._rate = rate
         self._burst = burst
         self._tokens = burst
         self._clock = clock
-        self._at = clock.monotonic()
+        self._refilled_at = clock.monotonic()
 
     def resize(self, rate: float, burst: float) -> None:
-        """Change the bounds; what was spent stays spent."""
+        """Change rate and burst; tokens already used aren't restored."""
         self._refill()
         self._rate = rate
         self._burst = burst
         self._tokens = min(self._tokens, burst)
 
-    async def take(self) -> None:
+    async def acquire(self) -> None:
         """Wait until one read may be made."""
         self._refill()
         self._tokens -= 1
@@ -45,21 +45,24 @@
 
     def _refill(self) -> None:
         now = self._clock.monotonic()
-        self._tokens = min(self._burst, self._tokens + (now - self._at) * self._rate)
-        self._at = now
+        self._tokens = min(self._burst, self._tokens + (now - self._refilled_at) * self._rate)
+        self._refilled_at = now
 
 
 class Backoff:
-    """Pauses between tries, doubling, with full jitter.
+    """Exponential backoff with full jitter.
 
     Many processes fail at the same moment when the service goes down. Without jitter they would
-    all come back at the same moment too and overrun its read budget.
+    also retry at the same moment and exceed its read budget.
     """
 
     __slots__ = ("_failures", "_first", "_longest", "_rng")
 
     def __init__(
-        self, rng: random.Random, first: float = FIRST_PAUSE, longest: float = LONGEST_PAUSE
+        self,
+        rng: random.Random,
+        first: float = FIRST_PAUSE_SECONDS,
+        longest: float = MAX_PAUSE_SECONDS,
     ) -> None:
         self._rng = rng
         self._first = first
@@ -67,11 +70,11 @@
         self._failures = 0
 
     def reset(self) -> None:
-        """Note a success."""
+        """Record a success."""
         self._failures = 0
 
     def next(self) -> float:
-        """Note a failure and return the seconds to wait."""
+        """Record a failure and return the seconds to wait."""
         ceiling = min(self._longest, self._first * 2 ** min(self._failures, MAX_DOUBLINGS))
         self._failures += 1
         return self._rng.uniform(self._first / 2, max(self._first, ceiling))
--- a/carawayhub/fleet/contents.py
+++ b/carawayhub/fleet/contents.py
@@ -1,4 +1,4 @@
-"""File contents by digest: those in force and those being fetched."""
+"""Stores file contents by digest: those in force and those being fetched."""
 
 import hashlib
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 
 class ContentStore:
-    """Holds contents whose digest was checked, and serves parts of them to peers."""
+    """Stores contents with verified digests, and serves parts of them to peers."""
 
     __slots__ = ("_contents", "_packed")
 
@@ -26,12 +26,12 @@
         """Return the content with this digest.
 
         Raises:
-            KeyError: It is not held.
+            KeyError: There is no such content.
         """
         return self._contents[digest]
 
     def add(self, digest: str, content: bytes) -> None:
-        """Keep ``content`` after checking it.
+        """Store ``content`` after verifying its digest.
 
         Raises:
             PeerError: CONFIG_DIGEST_MISMATCH.
@@ -41,7 +41,7 @@
         self._contents[digest] = content
 
     def add_packed(self, packed: bytes) -> None:
-        """Keep a compressed content under the digest that it has.
+        """Store a compressed content under its computed digest.
 
         Raises:
             PeerError: PEER_PROTOCOL when it cannot be read.
@@ -52,7 +52,7 @@
         self._packed[digest] = packed
 
     def keep_only(self, digests: Iterable[str]) -> None:
-        """Drop all other contents."""
+        """Remove all other contents."""
         kept = set(digests)
         self._contents = {key: value for key, value in self._contents.items() if key in kept}
         self._packed = {key: value for key, value in self._packed.items() if key in kept}
@@ -60,39 +60,39 @@
     def small(self, digests: Iterable[str]) -> tuple[bytes, ...]:
         """Return compressed contents in the order given, as long as they fit one message."""
         contents: list[bytes] = []
-        room = CONTENT_BYTES
+        remaining_bytes = CONTENT_BYTES
         for digest in digests:
             content = self._contents.get(digest)
-            if content is None or len(content) > room:
+            if content is None or len(content) > remaining_bytes:
                 break
-            room -= len(content)
+            remaining_bytes -= len(content)
             contents.append(self._pack(digest))
         return tuple(contents)
 
     def serve(self, req: FilesRequest) -> FilesReply:
-        """Return as many of the files asked for as fit one message."""
+        """Return as many of the requested files as fit one message."""
         chunks: list[FileChunk] = []
-        room = CONTENT_BYTES
+        remaining_bytes = CONTENT_BYTES
         offset = req.offset
         for digest in req.digests:
             content = self._contents.get(digest)
             if content is None:
                 offset = 0
                 continue
-            if chunks and len(content) > room:
+            if chunks and len(content) > remaining_bytes:
                 break
-            data = content[offset : offset + room]
+            data = content[offset : offset + remaining_bytes]
             chunks.append(
                 FileChunk(digest=digest, offset=offset, size=len(content), data=pack(data))
             )
-            room -= len(data)
+            remaining_bytes -= len(data)
             offset = 0
-            if room <= 0:
+            if remaining_bytes <= 0:
                 break
         return FilesReply(chunks=tuple(chunks))
 
     def _pack(self, digest: str) -> bytes:
-        # The same change goes to several peers within a second.
+        # Cached because the same change is sent to several peers within a second.
         packed = self._packed.get(digest)
         if packed is None:
             packed = self._packed[digest] = pack(self._contents[digest])
@@ -100,7 +100,7 @@
 
 
 class PartialFile:
-    """One file that comes in parts from one peer."""
+    """A file received in parts from one peer."""
 
     __slots__ = ("_data", "digest")
 
@@ -109,17 +109,19 @@
         self._data = bytearray()
 
     def offset(self, digest: str) -> int:
-        """Return how many bytes of the file with this digest are here."""
+        """Return the number of bytes received of the file with this digest."""
         return len(self._data) if digest == self.digest else 0
 
     def add(self, chunk: FileChunk) -> bytes | None:
-        """Append a part and return the whole content once it is complete.
+        """Append a part and return the content once it is complete.
 
         Raises:
-            PeerError: PEER_PROTOCOL when the part does not continue the ones before.
+            PeerError: PEER_PROTOCOL when the part doesn't continue the previous ones.
         """
         if chunk.size > MAX_FILE_BYTES or chunk.offset != self.offset(chunk.digest):
-            raise PeerError(Code.PEER_PROTOCOL, f"part of file {chunk.digest} does not fit")
+            raise PeerError(
+                Code.PEER_PROTOCOL, f"part of file {chunk.digest} is too large or out of order"
+            )
         if chunk.offset == 0:
             self.digest, self._data = chunk.digest, bytearray()
         data = unpack(chunk.data, CONTENT_BYTES)
--- a/carawayhub/fleet/deltas.py
+++ b/carawayhub/fleet/deltas.py
@@ -1,4 +1,4 @@
-"""Asking a peer for what changed, and answering one that asks."""
+"""Requests changes from a peer, and answers such requests."""
 
 from dataclasses import dataclass
 
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetched:
-    """A peer's manifest, put together from the changes it sent, and the contents sent along."""
+    """A peer's manifest, assembled from the received changes, with the attached contents."""
 
     manifest: Manifest
     contents: tuple[bytes, ...]
 
 
 def answer(history: History, req: ManifestRequest, contents: ContentStore) -> ManifestReply:
-    """Return one page of what changed since the version that the request names."""
+    """Return one page of the changes since the version in the request."""
     current = history.current
     base = VersionId(req.base_version, req.base_digest)
     delta = history.since(base)
@@ -44,7 +44,7 @@
     names = sorted(delta.changed)
     page = names[req.start : req.start + NAMES_PER_PAGE]
     first = req.start == 0
-    whole = first and base.version > 0 and len(page) == len(names)
+    complete = first and base.version > 0 and len(page) == len(names)
     return ManifestReply(
         version=current.id.version,
         digest=current.id.digest,
@@ -52,7 +52,7 @@
         changed=tuple((name, delta.changed[name]) for name in page),
         removed=delta.removed if first else (),
         total=len(names),
-        contents=contents.small(delta.changed[name] for name in page) if whole else (),
+        contents=contents.small(delta.changed[name] for name in page) if complete else (),
     )
 
 
@@ -60,14 +60,14 @@
     """Ask ``peer`` for its newest manifest as changes to ``base``.
 
     Raises:
-        PeerError: The peer did not answer, or its changes do not add up to the digest it names.
+        PeerError: The peer did not answer, or its changes don't match the announced digest.
     """
-    fetched = await _pages(peers, peer, document, base)
+    fetched = await _fetch_pages(peers, peer, document, base)
     if _matches(document, fetched.manifest):
         return fetched
-    # The peer's record of our version differs from what we hold: its changes lead elsewhere.
-    # Only a whole manifest is certain then.
-    fetched = await _pages(peers, peer, document, Manifest())
+    # The peer's record of the base version differs from the local one, so its changes don't apply.
+    # Only a complete manifest is certain to be correct.
+    fetched = await _fetch_pages(peers, peer, document, Manifest())
     if not _matches(document, fetched.manifest):
         raise PeerError(Code.CONFIG_DIGEST_MISMATCH, f"manifest of {peer}")
     return fetched
@@ -76,10 +76,10 @@
 async def fetch_files(
     peers: FleetPeers, peer: str, missing: list[str], contents: ContentStore
 ) -> None:
-    """Ask ``peer`` for the contents with the digests in ``missing`` and keep them.
+    """Ask ``peer`` for the contents with the digests in ``missing`` and store them.
 
     Raises:
-        PeerError: The peer did not answer, does not hold one, or sent another content.
+        PeerError: The peer did not answer, doesn't have one, or sent a different content.
     """
     partial = PartialFile()
     while missing:
@@ -88,7 +88,7 @@
             peer, FilesRequest(digests=asked, offset=partial.offset(asked[0]))
         )
         if not reply.chunks:
-            raise PeerError(Code.PEER_PROTOCOL, f"{peer} does not hold the files it offers")
+            raise PeerError(Code.PEER_PROTOCOL, f"{peer} doesn't have the files that it announced")
         for chunk in reply.chunks:
             content = partial.add(chunk)
             if content is not None:
@@ -96,7 +96,7 @@
         missing = [digest for digest in missing if digest not in contents]
 
 
-async def _pages(peers: FleetPeers, peer: str, document: Document, base: Manifest) -> Fetched:
+async def _fetch_pages(peers: FleetPeers, peer: str, document: Document, base: Manifest) -> Fetched:
     changed: dict[str, str] = {}
     first: ManifestReply | None = None
     for _ in range(MAX_PAGES):
@@ -117,7 +117,7 @@
             return _assemble(first, changed, base)
         if not reply.changed:
             break
-    raise PeerError(Code.PEER_PROTOCOL, f"manifest of {peer} does not end")
+    raise PeerError(Code.PEER_PROTOCOL, f"manifest of {peer} is incomplete")
 
 
 def _assemble(first: ManifestReply, changed: dict[str, str], base: Manifest) -> Fetched:
--- a/carawayhub/fleet/events.py
+++ b/carawayhub/fleet/events.py
@@ -1,4 +1,4 @@
-"""What the synchronisation of the configuration tells the audit trail and the operators."""
+"""Events that the configuration sync reports to the audit trail and the operators."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionConflict:
-    """One number was seen with two contents; all processes end with the greater digest."""
+    """One number has two contents; all processes end with the greater digest."""
 
     in_force: VersionId
     other: VersionId
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchFailed:
-    """A source that has a newer version could not give it."""
+    """A newer version could not be fetched from a source that has it."""
 
     id: VersionId
     source: str
@@ -56,4 +56,4 @@
 
 
 def ignore(event: SyncEvent) -> None:
-    """Take an event and do nothing."""
+    """Ignore an event."""
--- a/carawayhub/fleet/linkplan.py
+++ b/carawayhub/fleet/linkplan.py
@@ -1,11 +1,10 @@
-"""Which entries serve which agent.
-
-With 780 entries and 5,400 agents a full mesh is out of reach, so each agent has
-``links_per_agent`` entries. Most are in its region, shared out over its failure domains, its own
-first; some are in other regions, for the time when its own has none left. Within a failure domain
-an agent takes the first entries of an order given by hash that still have room: the agents of one
-model are shared out evenly on their own, since an entry that happened to have no link to any
-endpoint of a model could not serve it.
+"""Plans the links between entries and agents.
+
+With 780 entries and 5,400 agents a full mesh isn't feasible, so each agent has
+``links_per_agent`` entries. Most are in its region, distributed over its failure domains, its own
+first. Some are in other regions, in case its own region has no entry left. Within a failure domain
+an agent uses the first entries with free capacity in a hash order. The agents of each model are
+balanced separately, since an entry without a link to any endpoint of a model couldn't serve it.
 """
 
 import itertools
@@ -19,19 +18,19 @@
 from carawayhub.fleet.rendezvous import ranked, score
 from carawayhub.platform.ports import VmList
 
-ORDERS = 64
-OTHER_REGIONS_SHARE = 6
-ROOM = 1.15
-ANY = "*"
+ORDER_COUNT = 64
+OTHER_REGIONS_DIVISOR = 6
+MAX_LOAD_FACTOR = 1.15
+ANY_TARGET = "*"
 
 
 @dataclass(frozen=True, slots=True)
 class AgentNode:
-    """An agent as far as links are concerned.
+    """The properties of an agent that matter for its links.
 
     Attributes:
         name: Name of its endpoint.
-        failure_domain: Where it stands.
+        failure_domain: Failure domain of the agent.
         region: The region of that failure domain.
         target: Model or service that its endpoint serves, empty for none.
     """
@@ -58,8 +57,8 @@
 def agents_of_entry(cfg: Configuration, vms: VmList | None, entry: str) -> tuple[str, ...]:
     """Return the agents that ``entry`` opens links to.
 
-    Only the failure domain of ``entry`` is worked out, since none depends on another. At the
-    planned size that takes some tens of milliseconds: call it in a worker thread, and only when
+    Only the failure domain of ``entry`` is planned, since failure domains are independent. At the
+    planned size this takes some tens of milliseconds: call it in a worker thread, and only if
     ``plan_key`` changed.
     """
     own = cfg.entries.get(entry)
@@ -71,7 +70,7 @@
 
 
 def plan_key(cfg: Configuration, vms: VmList | None, keep: str = "") -> int:
-    """Return a number that changes when the links may have changed."""
+    """Return a hash that differs if the links may have changed."""
     nodes = entry_nodes(cfg, vms, keep)
     return hash((tuple(agent_nodes(cfg)), nodes, cfg.fleet.links_per_agent))
 
@@ -92,13 +91,13 @@
 def plan(
     agents: Iterable[AgentNode], entries: Iterable[Node], links: int, only: str = ""
 ) -> LinkPlan:
-    """Share agents out over entries.
+    """Distribute agents over entries.
 
     Args:
         agents: All agents.
         entries: All entries that links may be planned with.
-        links: Entries for each agent.
-        only: Failure domain to which the work is confined, empty for all.
+        links: Number of entries for each agent.
+        only: Failure domain to plan, empty for all.
     """
     return _Planner(tuple(entries), links, only).plan(tuple(agents))
 
@@ -120,7 +119,7 @@
         "_orders",
         "_quota_cache",
         "_regions",
-        "_wishes",
+        "_demand",
     )
 
     def __init__(self, entries: tuple[Node, ...], links: int, only: str) -> None:
@@ -135,15 +134,15 @@
         self._orders: dict[tuple[str, int], list[str]] = {}
         self._quota_cache: dict[tuple[str, str, int], dict[str, int]] = {}
         self._load = _Load()
-        self._wishes: dict[tuple[str, str], int] = defaultdict(int)
+        self._demand: dict[tuple[str, str], int] = defaultdict(int)
 
     def plan(self, agents: tuple[AgentNode, ...]) -> LinkPlan:
         numbers = {agent.name: score("order", agent.name) for agent in agents}
         quotas = {agent.name: self._quotas(agent, numbers[agent.name]) for agent in agents}
         for agent in agents:
             for domain, count in quotas[agent.name].items():
-                self._wishes[(domain, agent.target)] += count
-                self._wishes[(domain, ANY)] += count
+                self._demand[(domain, agent.target)] += count
+                self._demand[(domain, ANY_TARGET)] += count
         chosen: dict[str, tuple[str, ...]] = {}
         for agent in sorted(agents, key=lambda each: (numbers[each.name], each.name)):
             number = numbers[agent.name]
@@ -151,8 +150,8 @@
         return LinkPlan(chosen, _inverse(chosen, self._domains))
 
     def _quotas(self, agent: AgentNode, number: int) -> dict[str, int]:
-        """Return how many entries an agent takes in each failure domain."""
-        key = (agent.region, agent.failure_domain, number % ORDERS)
+        """Return the number of entries of an agent in each failure domain."""
+        key = (agent.region, agent.failure_domain, number % ORDER_COUNT)
         if key not in self._quota_cache:
             self._quota_cache[key] = self._new_quotas(*key)
         return self._quota_cache[key]
@@ -160,8 +159,8 @@
     def _new_quotas(self, region: str, failure_domain: str, number: int) -> dict[str, int]:
         near = self._regions.get(region, [])
         far = [name for name in self._regions if name != region]
-        room = sum(len(self._domains[domain]) for domain in near)
-        others = max(1, self._links // OTHER_REGIONS_SHARE, self._links - room) if far else 0
+        capacity = sum(len(self._domains[domain]) for domain in near)
+        others = max(1, self._links // OTHER_REGIONS_DIVISOR, self._links - capacity) if far else 0
         neighbours = [domain for domain in near if domain != failure_domain]
         order = [domain for domain in near if domain == failure_domain]
         order += ranked(f"domains {number}", neighbours)
@@ -171,7 +170,7 @@
         return quotas
 
     def _far_domains(self, far: list[str], number: int) -> list[str]:
-        """Return failure domains of other regions, each time of the next region while they last."""
+        """Return the failure domains of other regions, alternating between the regions."""
         regions = [
             ranked(f"domains {number}", self._regions[region])
             for region in ranked(f"regions {number}", far)
@@ -192,16 +191,16 @@
         for domain, count in quotas.items():
             if self._only and domain != self._only:
                 continue
-            order = self._order(domain, number // ORDERS % ORDERS)
-            for entry in self._with_room(domain, agent.target, order, count):
+            order = self._order(domain, number // ORDER_COUNT % ORDER_COUNT)
+            for entry in self._with_capacity(domain, agent.target, order, count):
                 self._load.total[entry] += 1
                 self._load.by_target[(entry, agent.target)] += 1
                 yield entry
 
-    def _with_room(self, domain: str, target: str, order: list[str], count: int) -> list[str]:
-        """Return the first entries with room: below the even share, then at it, then any."""
-        share = self._wishes[(domain, target)] / len(order)
-        most = math.ceil(self._wishes[(domain, ANY)] / len(order) * ROOM)
+    def _with_capacity(self, domain: str, target: str, order: list[str], count: int) -> list[str]:
+        """Return the first entries with capacity: below the even share, then at it, then any."""
+        share = self._demand[(domain, target)] / len(order)
+        max_links = math.ceil(self._demand[(domain, ANY_TARGET)] / len(order) * MAX_LOAD_FACTOR)
         picks: list[str] = []
         for bound in (math.floor(share), math.ceil(share)):
             for entry in order:
@@ -209,7 +208,7 @@
                     return picks
                 if self._load.by_target[(entry, target)] >= bound or entry in picks:
                     continue
-                if self._load.total[entry] < most:
+                if self._load.total[entry] < max_links:
                     picks.append(entry)
         rest = [entry for entry in order if entry not in picks]
         rest.sort(key=lambda entry: self._load.total[entry])
@@ -224,7 +223,7 @@
 
 
 def _listed_first(entries: tuple[Node, ...]) -> list[Node]:
-    """Return the entries to plan with; unlisted ones only where a domain has no listed one."""
+    """Return the entries to plan with; unlisted ones only if their domain has no listed one."""
     listed = {node.failure_domain for node in entries if node.listed}
     return [node for node in entries if node.listed or node.failure_domain not in listed]
 
--- a/carawayhub/fleet/manifest.py
+++ b/carawayhub/fleet/manifest.py
@@ -1,7 +1,7 @@
-"""Which files one configuration version has, and how two versions differ.
+"""The files of one configuration version, and the differences between versions.
 
 A version is compared, offered and fetched as a mapping of file names to content digests, so that
-only the files that changed cross a link. The same steps serve the VM list, with states as values.
+only changed files are transferred. The VM list uses the same steps, with states as values.
 """
 
 import hashlib
@@ -9,15 +9,15 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-STEPS_KEPT = 256
+MAX_STEPS = 256
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class VersionId:
     """A version number with the digest of its content.
 
-    Where one number was published with two contents the greater digest counts as the newer, as in
-    ``carawayhub.config.version``, so that all processes end with the same one.
+    If one number was published with two contents, the greater digest counts as newer, as in
+    ``carawayhub.config.version``, so that all processes choose the same content.
 
     Attributes:
         version: Number under which it was published, 0 for none.
@@ -45,24 +45,24 @@
 
     @classmethod
     def of(cls, version: int, files: Mapping[str, str]) -> "Manifest":
-        """Return the manifest of ``files`` with its digest worked out."""
+        """Return the manifest of ``files`` with its computed digest."""
         return cls(VersionId(version, manifest_digest(files)), dict(files))
 
 
 @dataclass(frozen=True, slots=True)
 class Delta:
-    """What must change in one mapping to get another.
+    """The changes that turn one mapping into another.
 
     Attributes:
         changed: New and changed names with their values.
-        removed: Names that are gone.
+        removed: Removed names.
     """
 
     changed: dict[str, str]
     removed: tuple[str, ...]
 
     def apply(self, base: Mapping[str, str]) -> dict[str, str]:
-        """Return ``base`` with the changes made."""
+        """Return ``base`` with the changes applied."""
         files = dict(base)
         for name in self.removed:
             files.pop(name, None)
@@ -88,7 +88,7 @@
 
 
 def difference(base: Mapping[str, str], target: Mapping[str, str]) -> Delta:
-    """Return what turns ``base`` into ``target``."""
+    """Return the changes that turn ``base`` into ``target``."""
     changed = {name: value for name, value in target.items() if base.get(name) != value}
     removed = tuple(name for name in base if name not in target)
     return Delta(changed, removed)
@@ -103,14 +103,14 @@
 class History:
     """The names that changed with each of the last versions, to answer peers with deltas.
 
-    A peer that lags by more than ``STEPS_KEPT`` versions gets the whole manifest.
+    A peer that lags by more than ``MAX_STEPS`` versions receives the complete manifest.
     """
 
     __slots__ = ("_current", "_steps")
 
     def __init__(self) -> None:
         self._current = Manifest()
-        self._steps: deque[_Step] = deque(maxlen=STEPS_KEPT)
+        self._steps: deque[_Step] = deque(maxlen=MAX_STEPS)
 
     @property
     def current(self) -> Manifest:
@@ -124,17 +124,17 @@
         self._current = manifest
 
     def since(self, base: VersionId) -> Delta | None:
-        """Return what changed since ``base``, or None where ``base`` is not remembered."""
+        """Return the changes since ``base``, or None if ``base`` isn't in the history."""
         if base == self._current.id:
             return Delta({}, ())
         names: set[str] = set()
         for step in reversed(self._steps):
             names.update(step.names)
             if step.base == base:
-                return self._among(names)
+                return self._delta_of(names)
         return None
 
-    def _among(self, names: set[str]) -> Delta:
+    def _delta_of(self, names: set[str]) -> Delta:
         files = self._current.files
         changed = {name: files[name] for name in sorted(names) if name in files}
         removed = tuple(name for name in sorted(names) if name not in files)
--- a/carawayhub/fleet/messages.py
+++ b/carawayhub/fleet/messages.py
@@ -1,8 +1,8 @@
-"""Messages by which processes hand the configuration and the VM list on to each other.
+"""Messages that distribute the configuration and the VM list between processes.
 
-A process learns of a newer version from heartbeats, asks one peer that has it for what changed
-since its own, and then for the contents that the reply did not carry. No message is larger than
-``MAX_MESSAGE_BYTES``.
+A process receives newer version numbers in heartbeats. It requests the changes since its own
+version from one peer, and then the contents that the reply didn't include. No message is larger
+than ``MAX_MESSAGE_BYTES``.
 """
 
 from enum import Enum
@@ -16,18 +16,18 @@
 
 
 class Document(Enum):
-    """What is handed on."""
+    """The distributed document."""
 
     CONFIGURATION = "configuration"
     VM_LIST = "vm_list"
 
 
 class ManifestRequest(msgspec.Struct, tag=True, frozen=True, kw_only=True):
-    """Asks for what changed since the sender's version.
+    """Requests the changes since the sender's version.
 
     Attributes:
         document: Configuration or VM list.
-        base_version: Version that the sender has, 0 for a whole manifest.
+        base_version: Version that the sender has, 0 for a complete manifest.
         base_digest: Its digest.
         start: Number of changed names to skip, for the next page of a long reply.
     """
@@ -39,16 +39,16 @@
 
 
 class ManifestReply(msgspec.Struct, tag=True, frozen=True, kw_only=True):
-    """What changed since the base.
+    """The changes since the base version.
 
     Attributes:
         version: Version that the replying process has in force, 0 for none.
         digest: Its digest.
-        base_version: Version to which the changes apply; 0 when ``changed`` is the whole manifest.
+        base_version: Version to which the changes apply; 0 if ``changed`` is the complete manifest.
         changed: New and changed names with their digests, one page of them.
-        removed: Names that are gone; on the first page only.
+        removed: Removed names; on the first page only.
         total: Number of changed names over all pages.
-        contents: Compressed contents of changed files, where they are small.
+        contents: Compressed contents of changed files, if they are small.
     """
 
     version: int
@@ -61,7 +61,7 @@
 
 
 class FilesRequest(msgspec.Struct, tag=True, frozen=True, kw_only=True):
-    """Asks for file contents.
+    """Requests file contents.
 
     Attributes:
         digests: SHA-256 of the files, at most ``DIGESTS_PER_REQUEST``.
@@ -76,9 +76,9 @@
     """A part of one file.
 
     Attributes:
-        digest: SHA-256 of the whole file.
-        offset: Place of the part within it, in bytes before compression.
-        size: Size of the whole file in bytes.
+        digest: SHA-256 of the complete file.
+        offset: Offset of the part in the file, in bytes before compression.
+        size: Size of the complete file in bytes.
         data: The part, compressed.
     """
 
@@ -89,10 +89,10 @@
 
 
 class FilesReply(msgspec.Struct, tag=True, frozen=True, kw_only=True):
-    """As many of the files as fit one message; the sender asks again for the rest.
+    """As many of the files as fit one message; the sender requests the rest again.
 
     Attributes:
-        chunks: Whole files, or one part of the first file.
+        chunks: Complete files, or one part of the first file.
     """
 
     chunks: tuple[FileChunk, ...] = ()
--- a/carawayhub/fleet/neighbours.py
+++ b/carawayhub/fleet/neighbours.py
@@ -1,8 +1,8 @@
-"""Which peers a process keeps links with: few, spread over failure domains, alike in every view.
+"""Chooses the peers of a process: few, spread over failure domains, the same in every view.
 
-All of it is a function of the configuration and the VM list alone, so two processes with the same
-input work out the same links, and one with older input differs in few. Entries keep links among
-themselves for the configuration and the sharing of limits. Each agent is served by
+The choice depends only on the configuration and the VM list. Two processes with the same input
+compute the same links, and with older input few links differ. Entries keep links among themselves
+to distribute the configuration and share limits. Each agent is served by
 ``links_per_agent`` entries.
 """
 
@@ -21,13 +21,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Node:
-    """A process as far as links are concerned.
+    """The properties of a process that matter for its links.
 
     Attributes:
-        name: Its name.
-        failure_domain: Where it stands.
+        name: Name of the process.
+        failure_domain: Failure domain of the process.
         region: The region of that failure domain.
-        listed: Whether the VM list has its VM as live.
+        listed: Whether its VM is live in the VM list.
     """
 
     name: str
@@ -41,9 +41,9 @@
 
     Args:
         cfg: The configuration in force.
-        vms: The VM list, None where it is not known.
-        keep: Name of an entry that plans for itself and counts as listed: the list lags, and a new
-            entry must find its links before the list has it.
+        vms: The VM list, None if unknown.
+        keep: Name of the entry that plans for itself and counts as listed: the list lags, and a new
+            entry must compute its links before the list contains it.
     """
     states = {} if vms is None else {vm.name: vm.state for vm in vms.vms}
     nodes = [
@@ -57,20 +57,20 @@
 def gossip_neighbours(name: str, nodes: Iterable[Node]) -> tuple[str, ...]:
     """Return the entries to which ``name`` opens links.
 
-    In its own failure domain these are the next one on a ring, which keeps the domain connected,
+    In its own failure domain these are the next entry on a ring, which keeps the domain connected,
     and others by rendezvous hash; then entries in other failure domains of the region; then one in
-    each other region. Entries that the VM list does not have come last.
+    each other region. Entries missing from the VM list come last.
     """
     others = {node.name: node for node in nodes}
     own = others.pop(name, None)
     if own is None:
         return ()
     domain = [node for node in others.values() if node.failure_domain == own.failure_domain]
-    region = [node for node in others.values() if _near(node, own)]
-    picks = [*_next_on_ring(own, domain), *_first(name, domain, OWN_DOMAIN_PICKS)]
+    region = [node for node in others.values() if _in_other_domain_of_region(node, own)]
+    picks = [*_next_on_ring(own, domain), *_first_ranked(name, domain, OWN_DOMAIN_PICKS)]
     picks += _over_domains(name, region, REGION_PICKS)
     for _, far in sorted(_by_region(others.values(), own).items()):
-        picks += _first(name, far, OTHER_REGION_PICKS)
+        picks += _first_ranked(name, far, OTHER_REGION_PICKS)
     return tuple(dict.fromkeys(picks))
 
 
@@ -82,7 +82,7 @@
     return entry.name == keep or not states or entry.vm in states
 
 
-def _near(node: Node, own: Node) -> bool:
+def _in_other_domain_of_region(node: Node, own: Node) -> bool:
     return node.region == own.region and node.failure_domain != own.failure_domain
 
 
@@ -92,7 +92,7 @@
     return [] if after == own.name else [after]
 
 
-def _first(key: str, nodes: list[Node], count: int) -> list[str]:
+def _first_ranked(key: str, nodes: list[Node], count: int) -> list[str]:
     listed = ranked(key, [node.name for node in nodes if node.listed])
     unlisted = ranked(key, [node.name for node in nodes if not node.listed])
     return [*listed, *unlisted][:count]
@@ -103,7 +103,7 @@
     for node in nodes:
         domains[node.failure_domain].append(node)
     order = ranked(key, domains)
-    firsts = [_first(key, domains[domain], count) for domain in order]
+    firsts = [_first_ranked(key, domains[domain], count) for domain in order]
     rounds = (
         pick for depth in range(count) for picks in firsts for pick in picks[depth : depth + 1]
     )
--- a/carawayhub/fleet/pace.py
+++ b/carawayhub/fleet/pace.py
@@ -1,13 +1,13 @@
-"""How often the links of one process may carry heartbeats.
+"""Computes the heartbeat interval of the links of one process.
 
-Both the processor time and the bytes of a process for control grow with its links times the rate of
-their heartbeats. A small fleet can afford the interval that the configuration names; in a large one
-an entry has some hundred links and must beat each of them less often.
+The CPU time and bytes that a process uses for control grow with its links times their heartbeat
+rate. A small fleet can use the configured interval; in a large one an entry has some hundred links
+and must send heartbeats on each less often.
 
-It may not beat them so seldom that permits run out in between: an agent's report lets an entry
-dispatch for ``permit_ttl_s`` and no longer, so with heartbeats further apart all endpoints would be
-out of use for a part of each interval. Where the two clash the permits win and the budget is
-overrun, which docs/CAPACITY.md counts.
+The interval must stay short enough that permits don't expire in between: an agent's report lets an
+entry dispatch for ``permit_ttl_s`` only, so with longer intervals all endpoints would be unusable
+for a part of each interval. If both limits conflict, the permits take precedence and the budget is
+exceeded, which docs/CAPACITY.md counts.
 """
 
 import math
@@ -21,8 +21,8 @@
 
     Args:
         links: Links that the process has, opened and accepted.
-        shortest: The interval that the configuration names, used while the links are few.
-        longest: The interval that no number of links exceeds.
+        shortest: The configured interval, used with few links.
+        longest: Upper bound of the interval for any number of links.
 
     Example:
         >>> heartbeat_interval(12, 0.5)
@@ -36,5 +36,5 @@
 
 
 def permit_bound(permit_ttl: float) -> float:
-    """Return the longest interval at which one lost report does not let permits run out."""
+    """Return the longest interval at which permits don't expire after one lost report."""
     return permit_ttl / REPORTS_PER_PERMIT
--- a/carawayhub/fleet/ports.py
+++ b/carawayhub/fleet/ports.py
@@ -1,4 +1,4 @@
-"""What the fleet's code needs from links, platform and configuration."""
+"""Interfaces of the fleet package to links, platform and configuration."""
 
 from typing import Protocol
 
@@ -7,20 +7,20 @@
 
 
 class FleetPeers(Protocol):
-    """Calls to other processes, each under the adapter's own timeout."""
+    """Calls to other processes; the adapter sets the timeouts."""
 
     async def manifest(self, peer: str, req: ManifestRequest) -> ManifestReply:
-        """Ask ``peer`` for what changed.
+        """Request the changes from ``peer``.
 
         Raises:
-            PeerError: The peer did not answer in time, or not with what can be read.
+            PeerError: The peer did not answer in time, or its answer is invalid.
         """
 
     async def files(self, peer: str, req: FilesRequest) -> FilesReply:
-        """Ask ``peer`` for file contents.
+        """Request file contents from ``peer``.
 
         Raises:
-            PeerError: As above.
+            PeerError: See ``manifest``.
         """
 
 
@@ -33,12 +33,12 @@
         A large configuration takes long to check: run the check in a worker thread.
 
         Raises:
-            ConfigError: CONFIG_OLDER_VERSION, CONFIG_VERSION_CONFLICT, or why it is refused.
+            ConfigError: CONFIG_OLDER_VERSION, CONFIG_VERSION_CONFLICT, or the reason for a refusal.
         """
 
 
 class ServiceFiles(Protocol):
-    """Contents from the platform's service."""
+    """File contents from the platform's service."""
 
     async def file(self, digest: str) -> bytes:
         """Return the content of the file with this SHA-256.
--- a/carawayhub/fleet/rendezvous.py
+++ b/carawayhub/fleet/rendezvous.py
@@ -1,4 +1,4 @@
-"""Highest-random-weight hashing: an order of names that every process works out alike."""
+"""Rendezvous (highest random weight) hashing: the same order of names in every process."""
 
 import hashlib
 from collections.abc import Iterable
@@ -11,8 +11,8 @@
 
 
 def ranked(key: str, names: Iterable[str]) -> list[str]:
-    """Return ``names`` by falling weight for ``key``.
+    """Return ``names`` by descending weight for ``key``.
 
-    The order of the others stays the same when a name comes or goes.
+    Adding or removing a name doesn't change the order of the others.
     """
     return sorted(names, key=lambda name: (score(key, name), name), reverse=True)
--- a/carawayhub/fleet/start.py
+++ b/carawayhub/fleet/start.py
@@ -1,8 +1,8 @@
-"""Makes a starting process ask peers and the service before it serves.
+"""Fetches the newest configuration from peers and the service before a process is ready.
 
-A process remembers nothing from before its start, and the service may serve an old version for
-long. One that trusted the service alone would bring back a configuration that the rest of the fleet
-has left behind. So it asks several peers as well, takes the newest, and names whom it did not
+A process keeps no state across restarts, and the service may serve an old version for a long time.
+A process that relied on the service alone could use a configuration that the fleet has replaced. It
+therefore also asks several peers, uses the newest version, and reports the peers that it did not
 reach.
 """
 
@@ -16,21 +16,21 @@
 from carawayhub.fleet.sync import ConfigSync
 from carawayhub.fleet.watchers import PlatformWatcher
 
-PEERS_WANTED = 4
-PEERS_WAIT = 5.0
-CATCH_UP_WAIT = 30.0
-SERVICE_FALLBACK = 8.0
-POLL = 0.5
+MIN_PEERS_ANSWERED = 4
+PEER_WAIT_SECONDS = 5.0
+CATCH_UP_WAIT_SECONDS = 30.0
+SERVICE_FALLBACK_SECONDS = 8.0
+POLL_SECONDS = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class StartReport:
-    """What a process knew when it became ready.
+    """The state of a process when it became ready.
 
     Attributes:
         in_force: Version in force.
-        newest_known: Newest version it was told of; later than ``in_force`` if it could not be had.
-        answered: Peers that told their version.
+        newest_known: Newest announced version; later than ``in_force`` if not fetched.
+        answered: Peers that announced their version.
         unreached: Peers asked that did not answer.
         service_answered: Whether the service answered.
     """
@@ -43,12 +43,12 @@
 
 
 class Startup:
-    """Brings a process to the newest configuration that anybody it reaches has.
+    """Brings a process to the newest configuration of any source that it reaches.
 
     Args:
-        sync: The configuration of this process; its ``run`` is a task by now.
-        watcher: Its reads of the service; its ``run`` is a task by now.
-        peers: Returns the peers that links are being opened to.
+        sync: The configuration of this process; its ``run`` must be running.
+        watcher: Its reads of the service; its ``run`` must be running.
+        peers: Returns the peers to which links are opened.
         clock: Source of time.
     """
 
@@ -68,24 +68,24 @@
         self._service_answered = False
 
     async def run(self) -> StartReport:
-        """Return once the process may serve.
+        """Return once the process may serve requests.
 
-        It never returns without a configuration, nor without an answer from at least one peer
-        where there are any: a process that reaches no peer reaches no agent either and could serve
-        nothing, so it loses nothing by waiting, and cannot bring back an old version meanwhile.
+        It never returns without a configuration, nor without an answer from at least one peer if
+        there are any. A process that reaches no peer reaches no agent either and couldn't serve
+        requests, so waiting costs nothing and prevents the use of an old version.
         """
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._ask_service)
-            await self._hear_peers()
+            await self._wait_for_peers()
             await self._catch_up()
-            # The first configuration may be what names the peers.
-            await self._hear_peers()
+            # The peers may be known only from the first configuration.
+            await self._wait_for_peers()
             await self._catch_up()
             tasks.cancel_scope.cancel()
         return self.report()
 
     def report(self) -> StartReport:
-        """Return what is known so far; operators see it while the process is not ready."""
+        """Return the current state; operators see it while the process isn't ready."""
         answered = self._sync.reporting_peers() & self._peers()
         return StartReport(
             self._sync.in_force,
@@ -100,11 +100,13 @@
         started = self._clock.monotonic()
         while not self._service_answered:
             self._service_answered = await self._watcher.read_version()
-            await anyio.sleep(POLL if self._service_answered else self._watcher.retry_pause())
-        # Contents come from peers first: a failure domain that restarts as one would otherwise read
-        # each file as many times as it has processes. Where nobody has anything yet, the watchers
-        # need their time first.
-        deadline = started + SERVICE_FALLBACK + self._watcher.full_read_seconds()
+            await anyio.sleep(
+                POLL_SECONDS if self._service_answered else self._watcher.retry_pause()
+            )
+        # Contents are fetched from peers first: a restarting failure domain would otherwise read
+        # each file once per process. If no peer has the contents yet, the watchers need time to
+        # read them.
+        deadline = started + SERVICE_FALLBACK_SECONDS + self._watcher.full_read_seconds()
         await anyio.sleep(max(0.0, deadline - self._clock.monotonic()))
         while self._behind() and not self._watcher.is_watcher:
             await anyio.sleep(self._watcher.fallback_jitter())
@@ -112,33 +114,33 @@
                 await self._watcher.read()
             await anyio.sleep(self._watcher.retry_pause())
 
-    async def _hear_peers(self) -> None:
-        deadline = self._clock.monotonic() + PEERS_WAIT
+    async def _wait_for_peers(self) -> None:
+        deadline = self._clock.monotonic() + PEER_WAIT_SECONDS
         while True:
             peers = self._peers()
             answered = len(self._sync.reporting_peers() & peers)
-            if answered >= min(PEERS_WANTED, len(peers)):
+            if answered >= min(MIN_PEERS_ANSWERED, len(peers)):
                 return
             if answered and self._clock.monotonic() >= deadline:
                 return
             await self._wait()
 
     async def _catch_up(self) -> None:
-        deadline = self._clock.monotonic() + CATCH_UP_WAIT
+        deadline = self._clock.monotonic() + CATCH_UP_WAIT_SECONDS
         while self._behind() or not self._service_asked(deadline):
             if self._sync.in_force.version and self._clock.monotonic() >= deadline:
                 return
             await self._wait()
 
     def _service_asked(self, deadline: float) -> bool:
-        # With the service down the newest of several peers must do, after a fair try.
-        asked_for = CATCH_UP_WAIT - (deadline - self._clock.monotonic())
-        return self._service_answered or asked_for >= PEERS_WAIT
+        # If the service is down, the newest version of several peers is used after a wait.
+        waited = CATCH_UP_WAIT_SECONDS - (deadline - self._clock.monotonic())
+        return self._service_answered or waited >= PEER_WAIT_SECONDS
 
     def _behind(self) -> bool:
         in_force = self._sync.in_force.version
         return in_force == 0 or in_force < self._sync.newest_known().version
 
     async def _wait(self) -> None:
-        with anyio.move_on_after(POLL):
+        with anyio.move_on_after(POLL_SECONDS):
             await self._sync.updated.wait()
--- a/carawayhub/fleet/watchers.py
+++ b/carawayhub/fleet/watchers.py
@@ -106,7 +106,7 @@
             PlatformError: The service did not answer.
             TimeoutError: The connection went silent.
         """
-        await self._budget.take()
+        await self._budget.acquire()
         self.reads += 1
         # The connection of a watch may go silent permanently while new connections work: neither a
         # response nor an error would arrive, and all changes would be missed. The service answers a
@@ -117,7 +117,7 @@
 
     async def file(self, digest: str) -> bytes:
         """Return the content of a file; see ``ConfigurationService``."""
-        await self._budget.take()
+        await self._budget.acquire()
         self.reads += 1
         with anyio.fail_after(RESPONSE_MARGIN_SECONDS):
             return await self._service.file(digest)
--- a/tests/test_fleet_neighbours.py
+++ b/tests/test_fleet_neighbours.py
@@ -1,4 +1,4 @@
-"""Which processes keep links with each other."""
+"""Tests of the choice of links between processes."""
 
 import unittest
 from collections import Counter
--- a/tests/unguarded.py
+++ b/tests/unguarded.py
@@ -413,7 +413,7 @@
     async def no_wait(self: Any) -> None:
         return
 
-    replace(Startup, "_hear_peers", no_wait)
+    replace(Startup, "_wait_for_peers", no_wait)
     replace(ConfigSync, "record_peer_version", lambda self, peer, id, service_age=0.0: None)
 
 
