--- a/benchmarks/link_parts.py
+++ b/benchmarks/link_parts.py
@@ -217,7 +217,7 @@
     # A digest of full length in every message, without a configuration to check.
     knowledge.sync = ConfigSync(book, PlainAcceptor(), clock, rng)
     manifest = Manifest.of(VERSION, {FILE: digest_of(CONTENT)})
-    await knowledge.sync.published(manifest, _Content())
+    await knowledge.sync.apply_published(manifest, _Content())
     assert knowledge.sync.in_force.version == VERSION
     bench = BenchRole(role)
     exchange = PacedExchange(identity, knowledge, bench, book)
@@ -227,4 +227,4 @@
 def expect(side: Side, peer: Peer) -> None:
     """Let a process know of a peer as its membership would."""
     member = Member(peer.key, f"vm-{peer.name}", DOMAINS[0], False)
-    side.knowledge.membership.expect((member,))
+    side.knowledge.membership.set_peers((member,))
