--- a/carawayhub/output/__init__.py
+++ b/carawayhub/output/__init__.py
@@ -1,1 +1,1 @@
-"""What people and programs read: tables, JSON, logs and the audit trail."""
+"""Output for people and programs: tables, plots, metrics, logs and the audit trail."""
--- a/carawayhub/output/audit.py
+++ b/carawayhub/output/audit.py
@@ -1,7 +1,7 @@
 """The audit trail: what changed in a process, when, why, and from which version.
 
-The trail is a ring in memory, since VMs keep nothing; each entry also goes out as a log line, which
-is where a lasting copy comes from.
+The trail is a bounded buffer in memory, since VMs have no persistent storage. Each change is also
+written to the log, which is the source of any permanent copy.
 """
 
 from collections import deque
@@ -12,11 +12,11 @@
 
 from carawayhub.clock import Clock
 
-ENTRIES_KEPT = 2_000
+MAX_CHANGES = 2_000
 
 
 class Subject(Enum):
-    """What a change concerns."""
+    """Kind of object that changed."""
 
     CONFIGURATION = "configuration"
     ENDPOINT = "endpoint"
@@ -27,18 +27,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Change:
-    """One change.
+    """A recorded change.
 
     Attributes:
         sequence: Number of the change within this process, from 1.
         at: Wall time in seconds since 1970-01-01 UTC.
-        process: Name of the process that saw or made it.
-        subject: What it concerns.
-        name: Which one, for example an endpoint's name.
-        before: What held before.
-        after: What holds now.
-        reason: Why.
-        version: Configuration version in force at the process then.
+        process: Name of the process that observed or made the change.
+        subject: Kind of object that changed.
+        name: Name of the object, for example of an endpoint.
+        before: State before the change.
+        after: State after the change.
+        reason: Reason for the change.
+        version: Configuration version that the process used at the time.
     """
 
     sequence: int
@@ -53,7 +53,7 @@
 
 
 class AuditTrail:
-    """Records changes of one process.
+    """Records the changes of one process.
 
     Args:
         process: Name of the process.
@@ -65,7 +65,7 @@
     def __init__(self, process: str, clock: Clock) -> None:
         self._process = process
         self._clock = clock
-        self._changes: deque[Change] = deque(maxlen=ENTRIES_KEPT)
+        self._changes: deque[Change] = deque(maxlen=MAX_CHANGES)
         self._next = 1
         self.version = 0
 
@@ -89,5 +89,5 @@
         ).info("change: {}", reason)
 
     def since(self, sequence: int = 0) -> tuple[Change, ...]:
-        """Return the changes kept whose number is above ``sequence``, oldest first."""
+        """Return the retained changes numbered above ``sequence``, oldest first."""
         return tuple(change for change in self._changes if change.sequence > sequence)
--- a/carawayhub/output/bounded.py
+++ b/carawayhub/output/bounded.py
@@ -1,4 +1,4 @@
-"""A log stream that neither blocks its process nor grows without bound."""
+"""A non-blocking log stream with a bounded buffer."""
 
 import os
 import time
@@ -6,76 +6,85 @@
 
 import msgspec
 
-MOST_LINES_A_SECOND = 400.0
-"""Lines that are written a second: ten times those of a usual second of an entry, and at about
-250 bytes a line less than a hundredth of its link."""
+MAX_LINES_PER_SECOND = 400.0
+"""Rate limit: ten times the usual rate of an entry and, at about 250 bytes a line, less than a
+hundredth of the bandwidth of its link."""
 
-MOST_WAITING_BYTES = 262_144
-"""Bytes kept while the reader of the log does not read: some seconds of lines."""
+MAX_BUFFERED_BYTES = 262_144
+"""Buffer limit while the log reader does not read; holds a few seconds of lines."""
 
 
 class BoundedLines:
-    """Writes whole lines to a descriptor.
+    """Writes complete lines to a file descriptor without blocking.
 
-    Guards against a reader that stops reading: a pipe holds some 64 KB, and the next write would
-    stop the process, with all of its requests. What cannot be written is kept up to a bound; lines
-    beyond that, and beyond a rate, are dropped, counted, and told of in a line of their own.
+    If the log reader stops reading, a pipe fills up after about 64 KB and a blocking write would
+    stall the process and all of its requests. Output that cannot be written is buffered up to a
+    limit. Lines beyond that limit or the rate limit are dropped, counted and reported in a
+    separate log line.
 
     Args:
-        descriptor: Where the lines go; it is made non-blocking.
+        descriptor: File descriptor to write to; it is set to non-blocking mode.
         now: Source of time in seconds.
 
     Attributes:
         dropped: Lines dropped since the process started.
     """
 
-    __slots__ = ("_descriptor", "_due", "_filled_at", "_left", "_now", "_waiting", "dropped")
+    __slots__ = (
+        "_allowance",
+        "_buffer",
+        "_descriptor",
+        "_now",
+        "_refilled_at",
+        "_unreported",
+        "dropped",
+    )
 
     def __init__(self, descriptor: int, now: Callable[[], float] = time.monotonic) -> None:
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._now = now
-        self._waiting = b""
-        self._left = MOST_LINES_A_SECOND
-        self._filled_at = now()
-        self._due = 0
+        self._buffer = b""
+        self._allowance = MAX_LINES_PER_SECOND
+        self._refilled_at = now()
+        self._unreported = 0
         self.dropped = 0
 
     def write(self, line: str) -> None:
-        """Write a line that ends with a newline, or drop it."""
+        """Write a line that ends with a newline, or drop it if a limit is exceeded."""
         self._refill()
-        if self._left < 1.0 or len(self._waiting) > MOST_WAITING_BYTES:
+        if self._allowance < 1.0 or len(self._buffer) > MAX_BUFFERED_BYTES:
             self.dropped += 1
-            self._due += 1
+            self._unreported += 1
             return
-        self._left -= 1.0
-        self._waiting += self._told() + line.encode()
+        self._allowance -= 1.0
+        self._buffer += self._dropped_notice() + line.encode()
         self.flush()
 
     def flush(self) -> None:
-        """Write what the descriptor takes now."""
+        """Write as much of the buffer as possible without blocking."""
         try:
-            while self._waiting:
-                written = os.write(self._descriptor, self._waiting)
-                self._waiting = self._waiting[written:]
+            while self._buffer:
+                written = os.write(self._descriptor, self._buffer)
+                self._buffer = self._buffer[written:]
         except BlockingIOError:
             return
         except OSError:
-            # The reader is gone. There is nobody to tell; the count shows in the metrics.
-            self._due += self._waiting.count(b"\n")
-            self.dropped += self._waiting.count(b"\n")
-            self._waiting = b""
+            # The reader is gone, so the loss cannot be logged now; the metrics report the count.
+            self._unreported += self._buffer.count(b"\n")
+            self.dropped += self._buffer.count(b"\n")
+            self._buffer = b""
 
-    def _told(self) -> bytes:
-        """Return a line that tells of dropped ones, nothing where there are none."""
-        if not self._due:
+    def _dropped_notice(self) -> bytes:
+        """Return a log line that reports newly dropped lines, or nothing if there are none."""
+        if not self._unreported:
             return b""
-        count, self._due = self._due, 0
+        count, self._unreported = self._unreported, 0
         line = {"level": "WARNING", "event": "log lines dropped", "count": count}
         return msgspec.json.encode(line | {"total": self.dropped}) + b"\n"
 
     def _refill(self) -> None:
         now = self._now()
-        gained = (now - self._filled_at) * MOST_LINES_A_SECOND
-        self._left = min(MOST_LINES_A_SECOND, self._left + gained)
-        self._filled_at = now
+        gained = (now - self._refilled_at) * MAX_LINES_PER_SECOND
+        self._allowance = min(MAX_LINES_PER_SECOND, self._allowance + gained)
+        self._refilled_at = now
--- a/carawayhub/output/logs.py
+++ b/carawayhub/output/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line, with the request's id where a line concerns a request."""
+"""Logging as JSON lines, with the request's id where a line concerns a request."""
 
 import logging
 import sys
@@ -13,35 +13,35 @@
 
 
 class LineStream(Protocol):
-    """Where log lines go: a text stream, or one that never blocks."""
+    """Destination of log lines: a text stream or a non-blocking one."""
 
     def write(self, line: str, /) -> object:
         """Write a line."""
 
     def flush(self) -> None:
-        """Hand on what was written."""
+        """Forward buffered output."""
 
 
 def configure_logs(stream: LineStream, level: str, process: str) -> None:
     """Send all log lines of this process to ``stream`` as JSON lines.
 
     Args:
-        stream: Where the lines go.
-        level: Least level that is written, for example ``INFO``.
-        process: Name of this process, carried by every line.
+        stream: Destination of the lines.
+        level: Minimum level to write, for example ``INFO``.
+        process: Name of this process, included in every line.
     """
 
     def write(message: "Message") -> None:
-        stream.write(_line(message, process))
+        stream.write(_format_line(message, process))
         stream.flush()
 
     logger.remove()
     logger.add(write, level=level.upper(), format="{message}", backtrace=False, diagnose=False)
-    logging.basicConfig(handlers=[_LibraryLines()], level=logging.WARNING, force=True)
+    logging.basicConfig(handlers=[_LibraryLogHandler()], level=logging.WARNING, force=True)
 
 
-class _LibraryLines(logging.Handler):
-    """Sends what libraries log the same way, so that each line stays one JSON object."""
+class _LibraryLogHandler(logging.Handler):
+    """Routes log records of libraries through loguru, so that they are written as JSON too."""
 
     def emit(self, record: logging.LogRecord) -> None:
         exc = record.exc_info[1] if record.exc_info else None
@@ -49,7 +49,7 @@
 
 
 def _level(record: logging.LogRecord) -> str | int:
-    """Return the level by its name, by its number where a library made up one of its own."""
+    """Return the level's name, or its number for a custom level that loguru does not know."""
     try:
         return logger.level(record.levelname).name
     except ValueError:
@@ -57,14 +57,14 @@
 
 
 def _text(record: logging.LogRecord) -> str:
-    """Return the message, as it was written where its arguments do not fit it."""
+    """Return the formatted message, or the raw one if its arguments do not match."""
     try:
         return record.getMessage()
     except (TypeError, ValueError):
         return str(record.msg)
 
 
-def _line(message: "Message", process: str) -> str:
+def _format_line(message: "Message", process: str) -> str:
     record = message.record
     moment = datetime.fromtimestamp(record["time"].timestamp(), UTC)
     line = {
@@ -76,13 +76,13 @@
     }
     if record["exception"] is not None:
         line["error"] = repr(record["exception"].value)
-    return _encoded(line).decode() + "\n"
+    return _encode_line(line).decode() + "\n"
 
 
-def _encoded(line: dict[str, Any]) -> bytes:
-    """Return the line as JSON, with what has no form in JSON as text.
+def _encode_line(line: dict[str, Any]) -> bytes:
+    """Return the line as JSON, with values that JSON cannot represent as text.
 
-    A line that cannot be encoded would be lost, with a traceback of ``loguru`` in its place.
+    A line that failed to encode would be lost, and ``loguru`` would print a traceback instead.
     """
     try:
         return msgspec.json.encode(line, enc_hook=str)
@@ -91,6 +91,6 @@
 
 
 def quiet_logs() -> None:
-    """Write only errors, for commands whose output people read."""
+    """Log only errors, for commands with human-readable output."""
     logger.remove()
     logger.add(sys.stderr, level="ERROR", format="{message}")
--- a/carawayhub/output/metrics.py
+++ b/carawayhub/output/metrics.py
@@ -1,4 +1,4 @@
-"""Latencies and counts of one process, for operators.
+"""Latency histograms and counters of one process, for operators.
 
 Latencies are kept in ``hdrhistogram`` histograms in milliseconds with two significant digits. There
 is a set for each organisation and one for each model or service, not for each pair: at 380
@@ -14,14 +14,14 @@
 
 LOWEST_MS = 1
 HIGHEST_MS = 600_000
-DIGITS = 2
-MOST_PENDING = 256
+SIGNIFICANT_DIGITS = 2
+MAX_PENDING_VALUES = 256
 PERCENTILES = (50.0, 95.0, 99.0)
 MS = 1000.0
 
 
 class Latency(Enum):
-    """What is measured of a request, in the order in which it happens."""
+    """Latencies measured for a request, in chronological order."""
 
     QUEUE = "queue"
     FIRST_TOKEN = "first_token"
@@ -30,7 +30,7 @@
 
 
 class Dimension(Enum):
-    """By what latencies are told apart."""
+    """Dimension by which latencies are grouped."""
 
     ORGANISATION = "organisation"
     TARGET = "target"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """Names one histogram."""
+    """Key of a histogram."""
 
     dimension: Dimension
     name: str
@@ -46,7 +46,7 @@
 
 
 class LatencyRow(msgspec.Struct, kw_only=True):
-    """One histogram in numbers; times are milliseconds."""
+    """Summary of one histogram; times are in milliseconds."""
 
     dimension: str
     name: str
@@ -59,7 +59,7 @@
 
 
 class CountRow(msgspec.Struct, kw_only=True):
-    """How many requests of an organisation ended with a code.
+    """Number of an organisation's requests that ended with a code.
 
     The name is empty for requests that ended before their key was known.
     """
@@ -70,7 +70,7 @@
 
 
 class MetricsPage(msgspec.Struct, kw_only=True):
-    """All that a process measured since it started."""
+    """All metrics of a process since it started."""
 
     latencies: list[LatencyRow]
     requests: list[CountRow]
@@ -79,39 +79,40 @@
 
 
 class Recorder:
-    """Takes the measurements of one series, for a series with one of them for each token.
+    """Records the measurements of one series; cheap enough for one measurement per token.
 
-    Whole milliseconds are counted in a dictionary, 0.1 us each, and go into the histogram when
-    somebody reads it: ``hdrhistogram`` is written in Python and takes 1.2 us for each value.
+    Values are rounded to milliseconds and counted in a dictionary, at 0.1 us each, because
+    ``hdrhistogram`` is written in Python and takes 1.2 us for each value. The counts are moved to
+    the histogram when it is read or when there are too many different values.
     """
 
     __slots__ = ("_counts", "_histogram")
 
     def __init__(self) -> None:
         self._counts: dict[int, int] = {}
-        self._histogram = HdrHistogram(LOWEST_MS, HIGHEST_MS, DIGITS)
+        self._histogram = HdrHistogram(LOWEST_MS, HIGHEST_MS, SIGNIFICANT_DIGITS)
 
     def record(self, seconds: float) -> None:
         """Add one measurement."""
         counts = self._counts
         ms = int(seconds * MS + 0.5)
         counts[ms] = counts.get(ms, 0) + 1
-        if len(counts) > MOST_PENDING:
-            self._settle()
+        if len(counts) > MAX_PENDING_VALUES:
+            self._flush_pending()
 
     def histogram(self) -> HdrHistogram:
         """Return the histogram of all measurements."""
-        self._settle()
+        self._flush_pending()
         return self._histogram
 
-    def _settle(self) -> None:
+    def _flush_pending(self) -> None:
         for ms, count in self._counts.items():
             self._histogram.record_value(max(LOWEST_MS, min(HIGHEST_MS, ms)), count)
         self._counts.clear()
 
 
 class Metrics:
-    """Collects what the process measures."""
+    """Collects the metrics of the process."""
 
     __slots__ = ("_codes", "_ended", "_recorders", "tokens")
 
@@ -127,7 +128,7 @@
         self.target_recorder(latency, target).record(seconds)
 
     def target_recorder(self, latency: Latency, target: str) -> Recorder:
-        """Return where the target's histogram alone takes measurements, to be kept for a while."""
+        """Return the recorder of the target's histogram, which the caller may keep and reuse."""
         return self._recorder(Series(Dimension.TARGET, target, latency))
 
     def ended(self, organisation: str, code: int) -> None:
@@ -135,11 +136,11 @@
         self._codes[(organisation, code)] += 1
 
     def endpoint_ended(self, target: str) -> None:
-        """Count a request whose endpoint ended while it worked on it."""
+        """Count a request whose endpoint ended while processing it."""
         self._ended[target] += 1
 
     def page(self) -> MetricsPage:
-        """Return all measurements in numbers."""
+        """Return a summary of all metrics."""
         rows = [_row(series, each.histogram()) for series, each in self._recorders.items()]
         counts = [
             CountRow(organisation=organisation, code=code, count=count)
@@ -174,7 +175,7 @@
     """Return the page in the text format that metric collectors read."""
     lines = ["# TYPE carawayhub_latency_milliseconds summary"]
     for row in page.latencies:
-        labels = f'{row.dimension}="{_escaped(row.name)}",latency="{row.latency}"'
+        labels = f'{row.dimension}="{_escape_label(row.name)}",latency="{row.latency}"'
         for quantile, value in (("0.5", row.p50), ("0.95", row.p95), ("0.99", row.p99)):
             lines.append(
                 f'carawayhub_latency_milliseconds{{{labels},quantile="{quantile}"}} {value}'
@@ -182,11 +183,11 @@
         lines.append(f"carawayhub_latency_milliseconds_count{{{labels}}} {row.count}")
     lines.append("# TYPE carawayhub_requests_total counter")
     for count in page.requests:
-        labels = f'organisation="{_escaped(count.organisation)}",code="{count.code}"'
+        labels = f'organisation="{_escape_label(count.organisation)}",code="{count.code}"'
         lines.append(f"carawayhub_requests_total{{{labels}}} {count.count}")
     lines.append("# TYPE carawayhub_cut_by_endpoint_ends_total counter")
     for target, cut in sorted(page.cut_by_ends.items()):
-        labels = f'target="{_escaped(target)}"'
+        labels = f'target="{_escape_label(target)}"'
         lines.append(f"carawayhub_cut_by_endpoint_ends_total{{{labels}}} {cut}")
     lines.append("# TYPE carawayhub_tokens_total counter")
     lines.append(f"carawayhub_tokens_total {page.tokens}")
@@ -198,8 +199,8 @@
 
     Args:
         metric: Name of the metric.
-        labels: Its labels, written out; empty for none.
-        recorder: The measurements.
+        labels: Formatted labels; empty for none.
+        recorder: Recorder of the histogram.
     """
     histogram = recorder.histogram()
     comma = "," if labels else ""
@@ -212,6 +213,6 @@
     return [*lines, f"{metric}_count{braces} {histogram.get_total_count()}"]
 
 
-def _escaped(name: str) -> str:
-    """Return a name as the value of a label."""
+def _escape_label(name: str) -> str:
+    """Escape a name for use as a label value."""
     return name.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/carawayhub/output/plots.py
+++ b/carawayhub/output/plots.py
@@ -1,4 +1,4 @@
-"""Plots as SVG text: a panel of lines above a panel of bars, over a common time axis."""
+"""SVG plots: a line chart above a bar chart, with a shared time axis."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -23,15 +23,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Plot:
-    """What to draw.
+    """Contents of a plot.
 
     Attributes:
-        title: Above the plot.
-        times: Seconds, ascending.
+        title: Title shown above the plot.
+        times: Times in seconds, ascending.
         lines: Series of the upper panel.
-        lines_label: What they show.
+        lines_label: Axis label of the upper panel.
         bars: Height of the bar at each time; 0 for none.
-        bars_label: What they show.
+        bars_label: Axis label of the lower panel.
     """
 
     title: str
@@ -64,12 +64,12 @@
     """Return ``plot`` as an SVG document.
 
     Raises:
-        ValueError: When it has no times, or a series has another length.
+        ValueError: If the plot has no times, or the length of a series differs from theirs.
     """
     series = [*(line.values for line in plot.lines), plot.bars]
     if not plot.times or any(len(values) != len(plot.times) for values in series):
         raise ValueError("every series of a plot needs one value for each of its times")
-    across = _Scale(plot.times[0], plot.times[-1], LEFT, WIDTH - RIGHT)
+    x_scale = _Scale(plot.times[0], plot.times[-1], LEFT, WIDTH - RIGHT)
     values = [value for line in plot.lines for value in line.values]
     upper = _Scale(min(values), max(values), LINES_TOP + LINES_HEIGHT, LINES_TOP)
     lower = _Scale(0.0, max(plot.bars) or 1.0, BARS_TOP + BARS_HEIGHT, BARS_TOP)
@@ -80,10 +80,10 @@
         _text(LEFT, 20, plot.title, size=15),
         *_axis(upper, plot.lines_label),
         *_axis(lower, plot.bars_label),
-        *_time_axis(across),
-        *(_polyline(plot.times, line, across, upper, n) for n, line in enumerate(plot.lines)),
+        *_time_axis(x_scale),
+        *(_polyline(plot.times, line, x_scale, upper, n) for n, line in enumerate(plot.lines)),
         *_legend(plot.lines),
-        *_bars(plot, across, lower),
+        *_bars(plot, x_scale, lower),
         "</svg>",
     ]
     return "\n".join(parts) + "\n"
@@ -100,21 +100,21 @@
     return parts
 
 
-def _time_axis(across: _Scale) -> list[str]:
+def _time_axis(x_scale: _Scale) -> list[str]:
     y = BARS_TOP + BARS_HEIGHT + 18
-    unit, name = (3600.0, "hours") if across.high - across.low > 7200 else (60.0, "minutes")
+    unit, name = (3600.0, "hours") if x_scale.high - x_scale.low > 7200 else (60.0, "minutes")
     marks = [
-        _text(across.at(value), y, f"{(value - across.low) / unit:.3g}", anchor="middle")
-        for value in across.ticks()
+        _text(x_scale.at(value), y, f"{(value - x_scale.low) / unit:.3g}", anchor="middle")
+        for value in x_scale.ticks()
     ]
     return [*marks, _text((LEFT + WIDTH) / 2, y + 18, f"{name} since the start", anchor="middle")]
 
 
 def _polyline(
-    times: Sequence[float], line: Line, across: _Scale, scale: _Scale, number: int
+    times: Sequence[float], line: Line, x_scale: _Scale, scale: _Scale, number: int
 ) -> str:
     points = " ".join(
-        f"{across.at(time):.1f},{scale.at(value):.1f}"
+        f"{x_scale.at(time):.1f},{scale.at(value):.1f}"
         for time, value in zip(times, line.values, strict=True)
     )
     colour = COLOURS[number % len(COLOURS)]
@@ -131,10 +131,10 @@
     return parts
 
 
-def _bars(plot: Plot, across: _Scale, scale: _Scale) -> list[str]:
+def _bars(plot: Plot, x_scale: _Scale, scale: _Scale) -> list[str]:
     floor = scale.at(0.0)
     return [
-        f'<rect x="{across.at(time) - 1:.1f}" y="{scale.at(value):.1f}" width="2"'
+        f'<rect x="{x_scale.at(time) - 1:.1f}" y="{scale.at(value):.1f}" width="2"'
         f' height="{floor - scale.at(value):.1f}" fill="{COLOURS[0]}"/>'
         for time, value in zip(plot.times, plot.bars, strict=True)
         if value > 0
--- a/carawayhub/output/tables.py
+++ b/carawayhub/output/tables.py
@@ -3,11 +3,11 @@
 from collections.abc import Iterable, Sequence
 from typing import TextIO
 
-GAP = "  "
+COLUMN_GAP = "  "
 
 
 def write_table(stream: TextIO, headers: Sequence[str], rows: Iterable[Sequence[object]]) -> None:
-    """Write rows under their headers, numbers to the right and all else to the left.
+    """Write a table with numeric columns aligned right and all others aligned left.
 
     Example:
         >>> import sys
@@ -25,7 +25,7 @@
             cell.rjust(width) if to_right else cell.ljust(width)
             for cell, width, to_right in zip(line, widths, right, strict=True)
         )
-        stream.write(GAP.join(cells).rstrip() + "\n")
+        stream.write(COLUMN_GAP.join(cells).rstrip() + "\n")
 
 
 def _text(cell: object) -> str:
--- a/tests/test_output.py
+++ b/tests/test_output.py
@@ -1,4 +1,4 @@
-"""Logs, the audit trail and measurements, as programs read them."""
+"""Tests of logs, the audit trail and metrics."""
 
 import io
 import json
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from carawayhub.clock import ManualClock
-from carawayhub.output.audit import ENTRIES_KEPT, AuditTrail, Subject
+from carawayhub.output.audit import MAX_CHANGES, AuditTrail, Subject
 from carawayhub.output.logs import configure_logs, quiet_logs
 from carawayhub.output.metrics import HIGHEST_MS, Latency, Metrics, as_text
 
@@ -17,7 +17,7 @@
 
 
 class LogsTest(unittest.TestCase):
-    """One JSON object a line, whatever is logged."""
+    """Every log record is written as one JSON object on one line."""
 
     def setUp(self) -> None:
         self.stream = io.StringIO()
@@ -63,9 +63,9 @@
         self.assertEqual(self.line()["error"], "ValueError('one\\ntwo')")
 
     def test_libraries_write_the_same_lines(self) -> None:
-        """A log collector drops lines that are no JSON, the ones that explain a failure.
+        """Collectors drop lines that are not JSON, which may be the ones that explain a failure.
 
-        Libraries log with braces, levels of their own, arguments that do not fit and tracebacks.
+        Libraries log braces, custom levels, mismatched arguments and tracebacks.
         """
         library = logging.getLogger("some.library")
         for level, words in ((logging.WARNING, ("{x} %d", 3)), (35, ("own",)), (40, ("%d", "x"))):
@@ -79,7 +79,7 @@
 
 
 class AuditTest(unittest.TestCase):
-    """The trail of changes."""
+    """Retention and numbering of recorded changes."""
 
     def test_the_newest_changes_are_kept_under_their_numbers(self) -> None:
         logger.disable("carawayhub.output.audit")
@@ -87,19 +87,19 @@
         clock = ManualClock(0.0, wall_offset=1e9)
         trail = AuditTrail("entry:e1", clock)
         trail.version = 7
-        for number in range(ENTRIES_KEPT + 10):
+        for number in range(MAX_CHANGES + 10):
             clock.advance(1.0)
             trail.record(Subject.ENDPOINT, f"b{number}", "serving", "leaving", "why {not}")
         kept = trail.since()
-        self.assertEqual((len(kept), kept[0].sequence), (ENTRIES_KEPT, 11))
-        last = trail.since(ENTRIES_KEPT + 9)
-        self.assertEqual([change.sequence for change in last], [ENTRIES_KEPT + 10])
-        self.assertEqual((last[0].at, last[0].version), (1e9 + ENTRIES_KEPT + 10, 7))
-        self.assertEqual(trail.since(ENTRIES_KEPT + 10), ())
+        self.assertEqual((len(kept), kept[0].sequence), (MAX_CHANGES, 11))
+        last = trail.since(MAX_CHANGES + 9)
+        self.assertEqual([change.sequence for change in last], [MAX_CHANGES + 10])
+        self.assertEqual((last[0].at, last[0].version), (1e9 + MAX_CHANGES + 10, 7))
+        self.assertEqual(trail.since(MAX_CHANGES + 10), ())
 
 
 class MetricsTest(unittest.TestCase):
-    """What a process measured."""
+    """Latency histograms and the metrics text format."""
 
     def test_each_measurement_is_told_by_organisation_and_by_target(self) -> None:
         metrics = Metrics()
