--- a/carawayhub/output/bounded.py
+++ b/carawayhub/output/bounded.py
@@ -70,7 +70,7 @@
         except BlockingIOError:
             return
         except OSError:
-            # The reader is gone, so the loss cannot be logged now; the metrics report the count.
+            # The reader is gone; the lost lines are counted and reported with the next line.
             self._unreported += self._buffer.count(b"\n")
             self.dropped += self._buffer.count(b"\n")
             self._buffer = b""
