--- a/benchmarks/capacity_model.py
+++ b/benchmarks/capacity_model.py
@@ -16,7 +16,7 @@
 from carawayhub.entry.process import FULL_MESH
 from carawayhub.fleet.watchers import WATCHERS_PER_FAILURE_DOMAIN
 from carawayhub.groups.decider import DeciderOptions
-from carawayhub.process.member import EVALUATE_INTERVAL
+from carawayhub.process.member import EVALUATE_INTERVAL_SECONDS
 
 CALLS_PER_FETCH = 2
 POLLS = (EngineWatch.load, EngineWatch.cache_changes)
@@ -166,7 +166,7 @@
         role=ENTRY,
         what="states of peers",
         module="fleet/membership.py",
-        rate=1 / EVALUATE_INTERVAL,
+        rate=1 / EVALUATE_INTERVAL_SECONDS,
         us=slopes["membership, one peer"] * found.links,
     )
     if full:
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -149,7 +149,7 @@
     async def links(self, count: int, pace: float) -> AsyncIterator[None]:
         """Keep links open whose heartbeats are spread evenly over the pace."""
         self.side.exchange.pace.heartbeat = pace
-        self.side.exchange.opening({self.peer.key: self.peer})
+        self.side.exchange.set_opened_peers({self.peer.key: self.peer})
         async with anyio.create_task_group() as tasks:
             for _ in range(count):
                 link = Link(
--- a/carawayhub/agent/process.py
+++ b/carawayhub/agent/process.py
@@ -40,7 +40,7 @@
 from carawayhub.peers.server import UnaryCall
 from carawayhub.platform.ports import VmList
 from carawayhub.process.host import Host
-from carawayhub.process.operators import Operators
+from carawayhub.process.operators import OperatorApp
 from carawayhub.process.role import WantedPeer
 from carawayhub.process.runtime import Runtime
 from carawayhub.process.status import EndpointStatus, ProcessStatus
@@ -92,7 +92,7 @@
         self._group = GroupTask(
             seat,
             member.knowledge.pauses.check,
-            member.knowledge.checked,
+            member.knowledge.wait_until_verified,
             self._lease,
             self._reporter,
             clock,
@@ -220,8 +220,8 @@
 
     # What operators see.
 
-    def _operators(self) -> Operators:
-        return Operators(
+    def _operators(self) -> OperatorApp:
+        return OperatorApp(
             self.runtime.audit, self.runtime.metrics, self.runtime.health, self._status
         )
 
--- a/carawayhub/entry/process.py
+++ b/carawayhub/entry/process.py
@@ -37,7 +37,7 @@
 )
 from carawayhub.platform.ports import VmList, VmState
 from carawayhub.process.host import Host
-from carawayhub.process.operators import Operators
+from carawayhub.process.operators import OperatorApp
 from carawayhub.process.role import WantedPeer
 from carawayhub.process.runtime import Runtime
 from carawayhub.process.status import EndpointStatus, ProcessStatus
@@ -67,7 +67,7 @@
         self._listen = bind(Address.parse(settings.listen))
         self._router = Router(clock, rng, identity.failure_domain, identity.region)
         self._admission = Admission(clock, rng, identity.name, self._router.load_of)
-        runtime.waits_for = self._waits_for
+        runtime.pending_reason = self._waits_for
         self._retries = RetryBudget(clock, rng)
         self._directory = EntryDirectory(clock, rng)
         self._reports = Reports()
@@ -93,7 +93,7 @@
                 metrics,
                 runtime.ready,
                 runtime.member.knowledge.pauses.check,
-                runtime.member.knowledge.checked,
+                runtime.member.knowledge.wait_until_verified,
             )
         )
         self._demand: tuple[OrganisationDemand, ...] = ()
@@ -304,8 +304,8 @@
 
     # What operators see.
 
-    def _operators(self) -> Operators:
-        return Operators(
+    def _operators(self) -> OperatorApp:
+        return OperatorApp(
             self.runtime.audit, self.runtime.metrics, self.runtime.health, self._status
         )
 
--- a/carawayhub/process/__init__.py
+++ b/carawayhub/process/__init__.py
@@ -1,1 +1,1 @@
-"""What entries and agents have in common: links, configuration in force, operators' HTTP, stop."""
+"""Code shared by entries and agents: links, configuration in force, operator HTTP, shutdown."""
--- a/carawayhub/process/acceptance.py
+++ b/carawayhub/process/acceptance.py
@@ -1,4 +1,4 @@
-"""The configuration in force at one process, and the parts that are told of a new one."""
+"""The configuration in force in one process, and the callbacks that receive each new version."""
 
 from collections.abc import Callable
 
@@ -10,10 +10,10 @@
 
 
 class InForce:
-    """Takes the verdicts on versions; see ``HighWaterAcceptor``.
+    """Stores the configuration in force and notifies subscribers; see ``HighWaterAcceptor``.
 
     Args:
-        audit: Takes each version that comes into force.
+        audit: Records each version that comes into force.
 
     Attributes:
         configuration: The configuration in force, None before the first.
@@ -30,17 +30,17 @@
         """Call ``subscriber`` with each version that comes into force."""
         self._subscribers.append(subscriber)
 
-    def decided(self, verdict: Verdict) -> None:
-        """Put an accepted version in force; what was refused changes nothing."""
+    def apply_verdict(self, verdict: Verdict) -> None:
+        """Put an accepted version in force; a refused version changes nothing."""
         match verdict:
             case Accepted(configuration=cfg):
-                self._enter(cfg, "version in force")
+                self._activate(cfg, "version in force")
             case Conflict(in_force=cfg, adopted=True):
-                self._enter(cfg, "the greater of two contents under one number")
+                self._activate(cfg, "the greater of two contents under one number")
 
-    def _enter(self, cfg: Configuration, reason: str) -> None:
-        held = self.configuration
-        before = "none" if held is None else str(held.version)
+    def _activate(self, cfg: Configuration, reason: str) -> None:
+        current = self.configuration
+        before = "none" if current is None else str(current.version)
         self.configuration = cfg
         self._audit.version = cfg.version
         self._audit.record(Subject.CONFIGURATION, "version", before, str(cfg.version), reason)
--- a/carawayhub/process/addressbook.py
+++ b/carawayhub/process/addressbook.py
@@ -1,4 +1,4 @@
-"""Addresses of peers by key, and the calls by which the configuration is handed on."""
+"""Peer addresses by key, and the calls that fetch the configuration from a peer."""
 
 from typing import Any
 
@@ -9,11 +9,11 @@
 from carawayhub.peers.calls import CallClient
 from carawayhub.peers.methods import FILES, MANIFEST, Method
 
-CALL_TIMEOUT = 3.0
+CALL_TIMEOUT_SECONDS = 3.0
 
 
 class AddressBook:
-    """Calls peers by the keys that the fleet's code uses for them."""
+    """Calls peers by their keys."""
 
     __slots__ = ("_addresses", "_calls")
 
@@ -21,17 +21,17 @@
         self._calls = calls
         self._addresses: dict[str, Address] = {}
 
-    def note(self, key: str, address: Address) -> None:
-        """Remember where a peer takes calls."""
+    def add_address(self, key: str, address: Address) -> None:
+        """Store the address at which a peer accepts calls."""
         self._addresses[key] = address
 
     async def manifest(self, peer: str, req: ManifestRequest) -> ManifestReply:
-        """Ask a peer for what changed; see ``FleetPeers``."""
+        """Request the list of changed files from a peer; see ``FleetPeers``."""
         reply: ManifestReply = await self._call(peer, MANIFEST, req)
         return reply
 
     async def files(self, peer: str, req: FilesRequest) -> FilesReply:
-        """Ask a peer for contents; see ``FleetPeers``."""
+        """Request file contents from a peer; see ``FleetPeers``."""
         reply: FilesReply = await self._call(peer, FILES, req)
         return reply
 
@@ -39,4 +39,4 @@
         address = self._addresses.get(peer)
         if address is None:
             raise PeerError(Code.PEER_SILENT, f"no address of {peer} is known")
-        return await self._calls.call(address, method, req, CALL_TIMEOUT)
+        return await self._calls.call(address, method, req, CALL_TIMEOUT_SECONDS)
--- a/carawayhub/process/exchange.py
+++ b/carawayhub/process/exchange.py
@@ -1,4 +1,4 @@
-"""Heartbeats and replies of one process, on links that it opens and on links that it accepts."""
+"""Heartbeats and replies of one process, on opened and accepted links."""
 
 from dataclasses import dataclass
 
@@ -14,27 +14,27 @@
 from carawayhub.process.knowledge import Knowledge
 from carawayhub.process.role import MemberRole
 
-SILENCES_KEPT = 2.0
+INBOUND_EXPIRY_TIMEOUTS = 2.0
 
 
 @dataclass(slots=True)
-class _Inbound:
+class _InboundPeer:
     hello: Hello
     heard_at: float
 
 
 class Exchange:
-    """Both ends of links; see ``LinkOwner`` and ``LinkServer``.
+    """Handles both ends of links; see ``LinkOwner`` and ``LinkServer``.
 
     Args:
-        identity: Who this process is.
-        knowledge: What it knows, which every exchange may extend or confirm.
-        role: What it does with reports.
-        book: Takes addresses of peers.
+        identity: Identity of this process.
+        knowledge: Its view of the fleet, which every exchange may extend or confirm.
+        role: Handles the reports it receives.
+        book: Stores the addresses of peers.
         clock: Source of time.
 
     Attributes:
-        changed: Notified when this process's state must reach its peers at once.
+        changed: Notified when this process must send its state to its peers at once.
         leaving: Whether this process is stopping.
     """
 
@@ -54,26 +54,26 @@
         self._book = book
         self._clock = clock
         self._opened: dict[str, Peer] = {}
-        self._inbound: dict[str, _Inbound] = {}
+        self._inbound: dict[str, _InboundPeer] = {}
         self._pauses_at_send: dict[str, int] = {}
         self._pauses_seen = 0
         self._echoes: dict[str, int] = {}
 
     @property
     def known_peers(self) -> frozenset[str]:
-        """Keys of the peers that links are kept with, whoever opened them."""
+        """Keys of the peers linked with this process, whichever side opened the link."""
         return frozenset(self._opened) | frozenset(self._inbound)
 
-    def opening(self, peers: dict[str, Peer]) -> None:
-        """Note to whom links are opened."""
+    def set_opened_peers(self, peers: dict[str, Peer]) -> None:
+        """Set the peers to which this process opens links."""
         self._opened = peers
 
     def hello(self) -> Hello:
-        """Return the introduction of this process."""
+        """Return the hello message of this process."""
         return self._identity.hello()
 
     def intervals(self) -> Intervals:
-        """Return the times in force now."""
+        """Return the current heartbeat interval and timeout."""
         fleet = self._knowledge.fleet
         beat = heartbeat_interval(
             len(self._opened) + len(self._inbound),
@@ -82,11 +82,11 @@
         )
         return Intervals(beat, max(fleet.heartbeat_timeout, 2 * beat))
 
-    # The opening end.
+    # Links that this process opens.
 
     def heartbeat(self, peer: Peer, sequence: int) -> Heartbeat:
         """Return the next heartbeat for ``peer``."""
-        self._distrust_after_pause()
+        self._check_pauses()
         self._pauses_at_send[peer.key] = self._knowledge.pauses.count
         sync = self._knowledge.sync
         return Heartbeat(
@@ -102,12 +102,12 @@
         )
 
     def link_up(self, peer: Peer, hello: Hello) -> None:
-        """Note that ``peer`` answered on a new connection."""
-        self._book.note(peer.key, peer.address)
+        """Record that ``peer`` answered on a new connection."""
+        self._book.add_address(peer.key, peer.address)
         self._knowledge.membership.heard(peer.key, hello.incarnation)
 
     def replied(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
-        """Take a reply."""
+        """Process a heartbeat reply."""
         knowledge = self._knowledge
         self._echoes[peer.key] = reply.pauses
         version = VersionId(reply.version, reply.digest)
@@ -122,19 +122,19 @@
         self._role.replied(peer, reply, asked_at)
 
     def link_lost(self, peer: Peer, reason: str) -> None:
-        """Note that a new connection to ``peer`` failed as well."""
+        """Record that reconnecting to ``peer`` failed as well."""
         self._knowledge.sync.forget(peer.key)
         self._knowledge.vms.forget(peer.key)
         self._knowledge.membership.failed(peer.key, reason)
         self._role.lost(peer)
 
-    # The accepting end.
+    # Links that this process accepts.
 
     def reply(self, peer: Hello, heartbeat: Heartbeat | None) -> HeartbeatReply:
-        """Answer a heartbeat, or with None tell of a changed state."""
-        self._distrust_after_pause()
+        """Return the reply to a heartbeat, or with None an announcement of a changed state."""
+        self._check_pauses()
         if heartbeat is not None:
-            self._heard(peer, heartbeat)
+            self._receive_heartbeat(peer, heartbeat)
         sync = self._knowledge.sync
         return HeartbeatReply(
             sequence=0 if heartbeat is None else heartbeat.sequence,
@@ -148,32 +148,32 @@
             report=self._role.report(peer),
         )
 
-    def _heard(self, peer: Hello, heartbeat: Heartbeat) -> None:
+    def _receive_heartbeat(self, peer: Hello, heartbeat: Heartbeat) -> None:
         key = peer_key(peer.role, peer.name)
         knowledge = self._knowledge
-        self._book.note(key, Address.parse(peer.address))
-        self._inbound[key] = _Inbound(peer, self._clock.monotonic())
+        self._book.add_address(key, Address.parse(peer.address))
+        self._inbound[key] = _InboundPeer(peer, self._clock.monotonic())
         self._drop_silent()
         version = VersionId(heartbeat.version, heartbeat.digest)
         knowledge.sync.heard(key, version, heartbeat.service_age)
         knowledge.vms.heard(key, heartbeat.vms)
         knowledge.membership.heard(key, peer.incarnation, heartbeat.leaving)
         if self._identity.role is ProcessRole.AGENT:
-            # An agent opens no links. A heartbeat may have lain in the socket for as long as the
-            # agent was paused; one that repeats the count of pauses was sent after the reply that
-            # told it, so after the pause.
+            # An agent opens no links. A heartbeat may have been buffered in the socket while the
+            # agent was paused. One that echoes the current pause count was sent after the reply
+            # that carried this count, and so after the pause.
             knowledge.confirm_configuration(key, heartbeat.version, heartbeat.echo)
         self._role.heard(peer, heartbeat)
 
     def _drop_silent(self) -> None:
-        oldest = self._clock.monotonic() - SILENCES_KEPT * self.intervals().timeout
+        oldest = self._clock.monotonic() - INBOUND_EXPIRY_TIMEOUTS * self.intervals().timeout
         for key in [key for key, each in self._inbound.items() if each.heard_at < oldest]:
             del self._inbound[key]
             if key not in self._opened:
                 self._knowledge.sync.forget(key)
                 self._knowledge.vms.forget(key)
 
-    def _distrust_after_pause(self) -> None:
+    def _check_pauses(self) -> None:
         pauses = self._knowledge.pauses
         pauses.check()
         if pauses.count != self._pauses_seen:
--- a/carawayhub/process/host.py
+++ b/carawayhub/process/host.py
@@ -1,4 +1,4 @@
-"""What an entry or agent runs in: a process of its own, or a thread of a local fleet."""
+"""The environment of an entry or agent: a separate process, or a thread of a local fleet."""
 
 from typing import Protocol
 
@@ -6,17 +6,17 @@
 
 
 class Host(Protocol):
-    """Where planned stops come from."""
+    """Source of stop requests."""
 
     async def watch_stop(self, stop: StopRequest) -> None:
-        """Turn what asks for a stop into a stop request, until cancelled."""
+        """Forward requests to stop to ``stop``, until cancelled."""
 
 
 class OwnProcess:
-    """A process of its own, which is stopped by signals."""
+    """A separate process, which is stopped by signals."""
 
     __slots__ = ()
 
     async def watch_stop(self, stop: StopRequest) -> None:
-        """Take SIGTERM and SIGINT."""
+        """Handle SIGTERM and SIGINT."""
         await watch_signals(stop)
--- a/carawayhub/process/identity.py
+++ b/carawayhub/process/identity.py
@@ -1,4 +1,4 @@
-"""Who a process is."""
+"""Identity of a process."""
 
 import secrets
 from dataclasses import dataclass
@@ -12,16 +12,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Identity:
-    """A process in one run of it.
+    """Identity of one run of a process.
 
     Attributes:
         name: Its name in the configuration.
-        role: Its kind.
-        incarnation: Random number drawn at this start; a restart has another one.
+        role: Entry or agent.
+        incarnation: Random number drawn at each start, so that a restart can be recognised.
         vm: Name of its VM.
-        failure_domain: Where it stands.
+        failure_domain: Its failure domain.
         region: The region of that failure domain.
-        address: ``ip:port`` at which it takes links and calls.
+        address: ``ip:port`` at which it accepts links and calls.
     """
 
     name: str
@@ -33,7 +33,7 @@
     address: str
 
     @classmethod
-    def of(cls, settings: Settings, role: ProcessRole) -> "Identity":
+    def from_settings(cls, settings: Settings, role: ProcessRole) -> "Identity":
         """Return the identity of a process that starts with these settings."""
         return cls(
             name=settings.name,
@@ -47,11 +47,11 @@
 
     @property
     def key(self) -> str:
-        """Name that is unique over both kinds of process."""
+        """Name that is unique across entries and agents."""
         return peer_key(self.role, self.name)
 
     def hello(self) -> Hello:
-        """Return the introduction on a link."""
+        """Return the hello message that opens a link."""
         return Hello(
             name=self.name,
             role=self.role,
--- a/carawayhub/process/knowledge.py
+++ b/carawayhub/process/knowledge.py
@@ -1,4 +1,4 @@
-"""What a process knows of the fleet: configuration, VM list, members, and whether it may be old."""
+"""A process's view of the fleet: configuration, VM list, members, and whether it may be stale."""
 
 import random
 from dataclasses import dataclass
@@ -27,16 +27,16 @@
 
 @dataclass(slots=True)
 class Knowledge:
-    """The parts that learn and keep it.
+    """The components that fetch and store the view of the fleet.
 
     Attributes:
-        in_force: The configuration in force and who is told of a new one.
-        sync: Learns of configurations.
-        watcher: Reads the platform where this process is one of those that should.
-        vms: Learns of the VM list.
+        in_force: The configuration in force and its subscribers.
+        sync: Synchronises the configuration.
+        watcher: Reads the platform if this process is one of those chosen to.
+        vms: Synchronises the VM list.
         membership: States of the peers that this process has links with.
-        pauses: Whether this process was paused.
-        confirmed: Notified when something that a pause put in doubt was checked.
+        pauses: Detects pauses of this process.
+        confirmed: Notified when a view left unverified by a pause is confirmed.
         members_changed: Notified when a peer's state changed.
     """
 
@@ -59,10 +59,10 @@
         rng: random.Random,
         audit: AuditTrail,
     ) -> "Knowledge":
-        """Return what a process knows when it starts: nothing."""
+        """Return the empty view with which a process starts."""
         in_force = InForce(audit)
-        acceptor = HighWaterAcceptor(HighWater(), in_force.decided)
-        sync = ConfigSync(book, acceptor, clock, rng, SyncAudit(audit).note)
+        acceptor = HighWaterAcceptor(HighWater(), in_force.apply_verdict)
+        sync = ConfigSync(book, acceptor, clock, rng, SyncAudit(audit).record_event)
         watcher = PlatformWatcher(identity.key, sync, platform, clock, rng)
         members_changed = Signal()
 
@@ -82,7 +82,7 @@
             watcher=watcher,
             vms=VmListSync(book, platform, lambda: watcher.on_duty, clock, rng),
             membership=Membership(clock, changed),
-            pauses=PauseDetector(clock, _views(identity.role)),
+            pauses=PauseDetector(clock, _unverified_views(identity.role)),
             confirmed=Signal(),
             members_changed=members_changed,
         )
@@ -99,22 +99,22 @@
         return FleetOptions() if cfg is None else cfg.fleet
 
     def manifest(self, req: ManifestRequest) -> ManifestReply:
-        """Answer a peer that asks what changed since its configuration or VM list."""
+        """Return what changed since a peer's configuration or VM list."""
         match req.document:
             case Document.CONFIGURATION:
                 return self.sync.manifest(req)
             case Document.VM_LIST:
                 return self.vms.manifest(req)
 
-    async def checked(self, timeout: float) -> bool:
-        """Return whether nothing that a pause put in doubt is unchecked.
+    async def wait_until_verified(self, timeout: float) -> bool:
+        """Wait until no view is unverified after a pause; return whether none is.
 
-        A process that was stopped goes on with what it knew before: it would dispatch to endpoints
-        that have left and under limits and keys that were changed. Waiting for one exchange with a
-        peer that began after the pause shows whether anything newer exists.
+        A process that was paused resumes with stale state: it would dispatch to endpoints that
+        have left, and apply limits and keys that have changed. One exchange with a peer that began
+        after the pause shows whether newer state exists.
 
         Args:
-            timeout: Seconds to wait for the check.
+            timeout: Seconds to wait for verification.
         """
         with anyio.move_on_after(timeout):
             while self.pauses.check():
@@ -122,27 +122,27 @@
         return not self.pauses.check()
 
     def confirm_configuration(self, peer: str, version: int, count: int) -> None:
-        """Take a peer's version as a check of the configuration in force.
+        """Confirm the configuration in force if a peer has the same version.
 
-        A peer that knows less proves nothing: it has just started, or hears nobody itself.
+        An older version confirms nothing: the peer has just started or is itself isolated.
 
         Args:
-            peer: Who told it.
+            peer: Key of the peer that reported the version.
             version: Version in force at the peer.
-            count: Pauses that this process had seen when the exchange began.
+            count: Pauses that this process had detected when the exchange began.
         """
         if version == self.sync.in_force.version:
             self.pauses.confirm(View.CONFIGURATION, count, f"{peer} has version {version}")
             self.confirmed.notify()
 
     def confirm_membership(self, peer: str, count: int) -> None:
-        """Take a peer's answer as a check of the membership."""
+        """Confirm the membership by a peer's answer."""
         self.pauses.confirm(View.MEMBERSHIP, count, f"{peer} answers")
         self.confirmed.notify()
 
 
-def _views(role: ProcessRole) -> frozenset[View]:
-    """Return what a pause puts in doubt; an agent knows of no other members."""
+def _unverified_views(role: ProcessRole) -> frozenset[View]:
+    """Return the views that a pause leaves unverified; an agent tracks no other members."""
     if role is ProcessRole.AGENT:
         return frozenset({View.CONFIGURATION})
     return frozenset({View.CONFIGURATION, View.MEMBERSHIP})
--- a/carawayhub/process/linkset.py
+++ b/carawayhub/process/linkset.py
@@ -1,4 +1,4 @@
-"""The links that a process opens: one task for each peer, following a changing set of peers."""
+"""The links that a process opens: one task per peer, for a changing set of peers."""
 
 import random
 from collections.abc import Iterable
@@ -12,14 +12,14 @@
 
 
 class LinkSet:
-    """Starts and ends link tasks so that they match the peers wanted.
+    """Starts and cancels link tasks to match the requested set of peers.
 
     Args:
-        owner: Takes what the links bring.
-        prover: Proves this process to its peers.
+        owner: Receives the events of the links.
+        prover: Authenticates this process to its peers.
         clock: Source of time.
         rng: Source of jitter.
-        tasks: Where the links run.
+        tasks: Task group in which the links run.
         source: IP number to connect from, empty for any.
     """
 
@@ -42,8 +42,8 @@
         self._tasks = tasks
         self._scopes: dict[Peer, anyio.CancelScope] = {}
 
-    def want(self, peers: Iterable[Peer]) -> tuple[Peer, ...]:
-        """Open links to new peers and end those to peers not named; return the latter."""
+    def set_peers(self, peers: Iterable[Peer]) -> tuple[Peer, ...]:
+        """Open links to new peers and end those to all others; return the peers removed."""
         wanted = set(peers)
         ended = tuple(peer for peer in self._scopes if peer not in wanted)
         for peer in ended:
--- a/carawayhub/process/member.py
+++ b/carawayhub/process/member.py
@@ -1,4 +1,4 @@
-"""A process as a member of the fleet: its knowledge, its links, and the tasks that keep them."""
+"""A process as a member of the fleet: its view of the fleet, its links and its tasks."""
 
 import random
 import socket
@@ -39,25 +39,25 @@
 from carawayhub.process.role import MemberRole
 from carawayhub.settings import Settings
 
-SEED_PAUSE = 1.0
-EVALUATE_INTERVAL = 2.0
-CLOSE_TIMEOUT = 1.0
+SEED_RETRY_SECONDS = 1.0
+EVALUATE_INTERVAL_SECONDS = 2.0
+CLOSE_TIMEOUT_SECONDS = 1.0
 
 
 class Member:
-    """Keeps one process at the newest configuration and in touch with its peers.
+    """Keeps the configuration of one process up to date and its peers linked.
 
     Args:
-        identity: Who this process is.
+        identity: Identity of this process.
         settings: Its settings.
         clock: Source of time.
         rng: Source of jitter.
-        audit: Takes changes.
+        audit: Records changes.
 
     Attributes:
-        knowledge: What it knows.
+        knowledge: Its view of the fleet.
         calls: Calls peers.
-        start_report: What it knew when it became ready, None before.
+        start_report: Result of the startup, None until the process is ready.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         self._links: LinkSet | None = None
         self._role: MemberRole | None = None
         self._relink = Signal()
-        self._named = NamedDeciders(clock)
+        self._named_deciders = NamedDeciders(clock)
 
     @property
     def configuration(self) -> Configuration | None:
@@ -96,7 +96,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this process knows the newest configuration that anybody it reached has."""
+        """Whether this process has the newest configuration of all the peers it reached."""
         return self.start_report is not None
 
     @property
@@ -105,13 +105,13 @@
         return self._exchange is not None and self._exchange.leaving
 
     def leave(self) -> None:
-        """Tell all peers that this process is stopping."""
+        """Announce to all peers that this process is stopping."""
         if self._exchange is not None:
             self._exchange.leaving = True
             self._exchange.changed.notify()
 
     def announce(self) -> None:
-        """Tell peers of a changed state at once."""
+        """Announce a changed state to peers at once."""
         if self._exchange is not None:
             self._exchange.changed.notify()
 
@@ -122,7 +122,7 @@
         return self._exchange.intervals().heartbeat
 
     def startup_state(self) -> StartReport:
-        """Return what the start has reached so far."""
+        """Return the progress of the startup."""
         return self.start_report or self._startup.report()
 
     async def run(
@@ -131,16 +131,16 @@
         """Take part in the fleet until cancelled.
 
         Args:
-            role: What this process does with what it learns.
+            role: Handles updates as an entry or an agent.
             sock: Listening socket for links and calls.
-            calls: Calls that this role answers besides those of every member.
+            calls: Calls that this role serves in addition to those of every member.
         """
         self._role = role
         exchange = Exchange(self.identity, self.knowledge, role, self._book, self._clock)
         self._exchange = exchange
-        self.knowledge.in_force.subscribe(self._named.configured)
+        self.knowledge.in_force.subscribe(self._named_deciders.configured)
         self.knowledge.in_force.subscribe(self._configured)
-        self._watch_alone_at_first()
+        self._watch_as_only_candidate()
         shared = (
             UnaryCall(MANIFEST, self._manifest),
             UnaryCall(FILES, self._files),
@@ -167,23 +167,23 @@
         tasks.start_soon(knowledge.vms.watch)
         tasks.start_soon(knowledge.pauses.run)
         tasks.start_soon(self._start)
-        tasks.start_soon(self._spread, exchange)
-        tasks.start_soon(self._follow_vms)
-        tasks.start_soon(self._follow_members)
+        tasks.start_soon(self._announce_versions, exchange)
+        tasks.start_soon(self._handle_vm_list_changes)
+        tasks.start_soon(self._handle_member_changes)
         tasks.start_soon(self._keep_links, exchange)
         tasks.start_soon(self._evaluate)
         if self._seeds:
             tasks.start_soon(self._ask_seeds)
 
     async def _close(self, server: PeerServer) -> None:
-        with anyio.move_on_after(CLOSE_TIMEOUT):
+        with anyio.move_on_after(CLOSE_TIMEOUT_SECONDS):
             await server.stop()
         self.calls.close()
-        with anyio.move_on_after(CLOSE_TIMEOUT):
+        with anyio.move_on_after(CLOSE_TIMEOUT_SECONDS):
             await self._platform.close()
 
-    def _watch_alone_at_first(self) -> None:
-        """Let an entry read the platform before it knows any other process."""
+    def _watch_as_only_candidate(self) -> None:
+        """Let an entry read the platform before it knows of any other process."""
         if self.identity.role is ProcessRole.ENTRY:
             own = Candidate(self.identity.key, self.identity.failure_domain)
             vms = self.knowledge.vms.current
@@ -200,31 +200,32 @@
             service=report.service_answered,
         ).info("ready")
 
-    async def _spread(self, exchange: Exchange) -> None:
-        """Tell peers of a new version at once, unless they know of it from elsewhere.
+    async def _announce_versions(self, exchange: Exchange) -> None:
+        """Announce a new version to peers at once, unless they receive it by another path.
 
-        Agents get versions from the entries that they are linked with. At full size an entry has
-        some eighty agents, and each change would come back to it from all of them; their heartbeats
-        name the version soon enough.
+        Agents receive versions from the entries that they are linked with. At full size an entry
+        has some eighty agents, and each would send every change back to it. An agent that doesn't
+        read the platform therefore reports the version only with its heartbeats, which is soon
+        enough.
         """
         while True:
             await self.knowledge.sync.changed.wait()
             if self.identity.role is ProcessRole.ENTRY or self.knowledge.watcher.on_duty:
                 exchange.changed.notify()
 
-    async def _follow_vms(self) -> None:
+    async def _handle_vm_list_changes(self) -> None:
         while True:
             await self.knowledge.vms.changed.wait()
             vms = self.knowledge.vms.current
             if vms is None or self._role is None:
                 continue
             if self.configuration is None:
-                self._watch_alone_at_first()
+                self._watch_as_only_candidate()
             self.knowledge.membership.listed(vms)
             self._role.listed(vms)
             self._relink.notify()
 
-    async def _follow_members(self) -> None:
+    async def _handle_member_changes(self) -> None:
         while True:
             await self.knowledge.members_changed.wait()
             self._update_watchers()
@@ -233,17 +234,17 @@
 
     async def _evaluate(self) -> None:
         while True:
-            await anyio.sleep(EVALUATE_INTERVAL)
+            await anyio.sleep(EVALUATE_INTERVAL_SECONDS)
             self.knowledge.membership.evaluate()
 
     async def _ask_seeds(self) -> None:
-        """Ask the addresses in the settings until there is a configuration that names peers."""
+        """Poll the seed addresses until there is a configuration, which names the peers."""
         for seed in self._seeds:
-            self._book.note(f"seed:{seed}", Address.parse(seed))
+            self._book.add_address(f"seed:{seed}", Address.parse(seed))
         while self.configuration is None:
             for seed in self._seeds:
                 await self._ask_seed(f"seed:{seed}")
-            await anyio.sleep(self._rng.uniform(SEED_PAUSE / 2, SEED_PAUSE))
+            await anyio.sleep(self._rng.uniform(SEED_RETRY_SECONDS / 2, SEED_RETRY_SECONDS))
 
     async def _ask_seed(self, key: str) -> None:
         try:
@@ -268,7 +269,7 @@
             Candidate(peer_key(ProcessRole.ENTRY, entry.name), entry.failure_domain)
             for entry in cfg.entries.values()
         ]
-        # Agents have few links, so reading the platform costs them least; they watch first.
+        # Agents have few links, so polling the platform costs them least; they are preferred.
         candidates += [
             Candidate(peer_key(ProcessRole.AGENT, each.name), each.failure_domain, light=True)
             for each in cfg.endpoints.values()
@@ -294,8 +295,8 @@
         wanted = await self._role.peers(cfg, self.knowledge.vms.current)
         self.knowledge.membership.expect(each.member for each in wanted)
         opened = {each.peer.key: each.peer for each in wanted}
-        exchange.opening(opened)
-        for peer in self._links.want(opened.values()):
+        exchange.set_opened_peers(opened)
+        for peer in self._links.set_peers(opened.values()):
             if peer.key not in opened:
                 self.knowledge.sync.forget(peer.key)
                 self.knowledge.vms.forget(peer.key)
@@ -309,7 +310,7 @@
 
     async def _confirm_decider(self, sender: str, req: LeaseRequest) -> LeaseReply:
         asking = Holder(req.endpoint, req.agent, req.vm)
-        return LeaseReply(named_seconds=self._named.seconds(req.group, asking))
+        return LeaseReply(named_seconds=self._named_deciders.seconds(req.group, asking))
 
     async def _files(self, sender: str, req: FilesRequest) -> FilesReply:
         return self.knowledge.sync.files(req)
--- a/carawayhub/process/operators.py
+++ b/carawayhub/process/operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP endpoints, on an address of their own."""
+"""The operators' HTTP endpoints, on a separate address."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,11 +14,11 @@
 Scope = dict[str, Any]
 
 TEXT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
-READING = frozenset({"GET", "HEAD"})
+READ_METHODS = frozenset({"GET", "HEAD"})
 
 
 class HealthBody(msgspec.Struct, kw_only=True):
-    """Whether a process lives and whether it may serve.
+    """Liveness and readiness of a process.
 
     Attributes:
         name: Name of the process.
@@ -31,18 +31,18 @@
     reason: str
 
 
-class Operators:
+class OperatorApp:
     """The ASGI application for operators.
 
-    ``/healthz`` says that the process lives, ``/readyz`` whether it may serve (200 or 503),
-    ``/metrics`` gives measurements as text and with ``?format=json`` as JSON, ``/status`` and
+    ``/healthz`` reports liveness, ``/readyz`` whether the process may serve (200 or 503),
+    ``/metrics`` returns metrics as text and with ``?format=json`` as JSON, ``/status`` and
     ``/audit?since=N`` what ``carawayhub status`` and ``carawayhub audit`` show.
 
     Args:
-        audit: The trail to show.
-        metrics: The measurements to show.
-        health: Gives the state of the process.
-        status: Gives the status page of the process.
+        audit: The audit trail to show.
+        metrics: The metrics to show.
+        health: Returns the health of the process.
+        status: Returns the status page of the process.
     """
 
     __slots__ = ("_audit", "_health", "_metrics", "_status")
@@ -63,8 +63,10 @@
         """Answer one request."""
         if scope["type"] != "http":
             return
-        if scope["method"] not in READING:
-            await _send_json(send, _Unknown(int(Code.USAGE), "only GET and HEAD"), 405)
+        if scope["method"] not in READ_METHODS:
+            await _send_json(
+                send, _Unknown(int(Code.USAGE), "only GET and HEAD are supported"), 405
+            )
             return
         query = parse_qs(scope["query_string"].decode("latin-1"))
         match scope["path"]:
@@ -86,7 +88,7 @@
         try:
             changes = self._audit.since(int(since))
         except ValueError:
-            unusable = _Unknown(int(Code.USAGE), "'since' is the number of a change")
+            unusable = _Unknown(int(Code.USAGE), "'since' must be the number of a change")
             await _send_json(send, unusable, 400)
             return
         await _send_json(send, changes)
--- a/carawayhub/process/role.py
+++ b/carawayhub/process/role.py
@@ -20,46 +20,46 @@
 
 @dataclass(frozen=True, slots=True)
 class WantedPeer:
-    """A peer to keep a link with, and what membership must know of it."""
+    """A peer to keep a link with, and its record for the membership."""
 
     peer: Peer
     member: Member
 
 
 class MemberRole(Protocol):
-    """The part that a process plays in the fleet."""
+    """Callbacks that entries and agents implement differently."""
 
     def configured(self, cfg: Configuration) -> None:
-        """Take a version that came into force."""
+        """Apply a version that came into force."""
 
     async def peers(self, cfg: Configuration, vms: VmList | None) -> Sequence[WantedPeer]:
         """Return the peers to open links to."""
 
     def listed(self, vms: VmList) -> None:
-        """Take a VM list."""
+        """Apply a VM list."""
 
     def replied(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
-        """Take what a peer reports on a link that this process opened."""
+        """Process a reply on a link that this process opened."""
 
     def lost(self, peer: Peer) -> None:
-        """Note that a peer cannot be reached, or is no longer linked."""
+        """Handle a peer that cannot be reached or is no longer linked."""
 
     def members_changed(self) -> None:
-        """Note that some peer's state in the membership changed."""
+        """Handle a change of any peer's state in the membership."""
 
     def heard(self, peer: Hello, heartbeat: Heartbeat) -> None:
-        """Take a heartbeat on a link that a peer opened."""
+        """Process a heartbeat on a link that a peer opened."""
 
     def report(self, peer: Hello) -> EndpointReport | None:
         """Return the report on this process's endpoint, None from an entry."""
 
     def demand(self, peer: Peer) -> tuple[OrganisationDemand, ...]:
-        """Return what this entry's callers ask for, for another entry."""
+        """Return the demand of this entry's callers, to send to another entry."""
 
     def ends(self, peer: Peer, sequence: int) -> tuple[EndsRow, ...]:
-        """Return under which requests endpoints ended, for another entry.
+        """Return the requests during which endpoints ended, to send to another entry.
 
         Args:
-            peer: That entry.
-            sequence: Number of the heartbeat that tells it.
+            peer: The entry that receives it.
+            sequence: Number of the heartbeat that carries it.
         """
--- a/carawayhub/process/runtime.py
+++ b/carawayhub/process/runtime.py
@@ -1,4 +1,4 @@
-"""What every process does around its own work: sockets, logs, signals, operators' HTTP."""
+"""Resources that every process needs: sockets, logs, signals, operator HTTP."""
 
 import random
 import socket
@@ -24,20 +24,20 @@
 
 @dataclass(slots=True)
 class Runtime:
-    """One process's surroundings.
+    """Resources and shared components of one process.
 
     Attributes:
         settings: Its settings.
-        identity: Who it is.
+        identity: Its identity.
         clock: Source of time.
         rng: Source of random choices and jitter.
         audit: Its audit trail.
-        metrics: Its measurements.
-        member: It as a member of the fleet.
-        host: What it runs in.
-        waits_for: Says what the process itself still waits for before it may serve, empty for
-            nothing.
-        stop: Whether it was asked to stop.
+        metrics: Its metrics.
+        member: Its membership in the fleet.
+        host: Its environment, the source of stop requests.
+        pending_reason: Returns what the process itself still waits for before it may serve, empty
+            for nothing.
+        stop: Its stop request.
         peer_socket: Listening socket for links and calls.
         operator_socket: Listening socket for operators.
     """
@@ -52,19 +52,19 @@
     peer_socket: socket.socket
     operator_socket: socket.socket
     host: Host
-    waits_for: Callable[[], str] = lambda: ""
+    pending_reason: Callable[[], str] = lambda: ""
     stop: StopRequest = field(default_factory=StopRequest)
 
     @classmethod
     def start(cls, settings: Settings, role: ProcessRole, host: Host | None = None) -> "Runtime":
-        """Bind the sockets and make the parts.
+        """Bind the sockets and create the components.
 
         Raises:
             CommandError: PORT_IN_USE.
         """
         clock = SystemClock()
         rng = random.Random()
-        identity = Identity.of(settings, role)
+        identity = Identity.from_settings(settings, role)
         audit = AuditTrail(identity.key, clock)
         runtime = cls(
             settings=settings,
@@ -87,29 +87,29 @@
         member = self.member
         reason = ""
         if member.leaving:
-            reason = "it is stopping"
+            reason = "the process is stopping"
         elif not member.ready:
             state = member.startup_state()
-            reason = f"waits for peers or service; not reached: {', '.join(state.unreached)}"
+            reason = f"waiting for peers or service; not reached: {', '.join(state.unreached)}"
         else:
-            reason = self.waits_for()
+            reason = self.pending_reason()
         return HealthBody(name=self.identity.key, ready=not reason, reason=reason)
 
     def ready(self) -> bool:
         """Return whether the process has what it needs to serve."""
-        return self.member.ready and not self.waits_for()
+        return self.member.ready and not self.pending_reason()
 
     def status(self) -> ProcessStatus:
         """Return the part of the status page that every process has."""
         member, identity = self.member, self.identity
-        held = member.knowledge.sync.in_force
+        in_force = member.knowledge.sync.in_force
         return ProcessStatus(
             name=identity.name,
             role=identity.role.value,
             incarnation=identity.incarnation,
             failure_domain=identity.failure_domain,
-            version=held.version,
-            digest=held.digest,
+            version=in_force.version,
+            digest=in_force.digest,
             newest_known=member.knowledge.sync.newest_known().version,
             ready=self.ready(),
             leaving=member.leaving,
--- a/carawayhub/process/status.py
+++ b/carawayhub/process/status.py
@@ -1,4 +1,4 @@
-"""What a process shows of itself to operators."""
+"""The status that a process reports to operators."""
 
 import msgspec
 
@@ -22,9 +22,9 @@
     Attributes:
         name: Name of the group.
         map_number: Number of the expert map in force.
-        skew: Busiest rank's load over the mean.
+        skew: Load of the busiest rank divided by the mean load.
         decision: The last decision.
-        reason: Why it was taken.
+        reason: Reason for the decision.
         out_of_routing: Why the group takes no requests, empty where it does.
     """
 
@@ -37,23 +37,23 @@
 
 
 class ProcessStatus(msgspec.Struct, kw_only=True):
-    """One process.
+    """Status of one process.
 
     Attributes:
         name: Its name.
         role: ``entry`` or ``agent``.
         incarnation: Random number drawn at its start.
-        failure_domain: Where it stands.
+        failure_domain: Its failure domain.
         version: Configuration version in force.
         digest: Its digest.
-        newest_known: Newest version it was told of.
+        newest_known: Newest version that it knows of.
         ready: Whether it may serve.
         leaving: Whether it is stopping.
         unreached: Peers that did not answer at the start.
         running: Requests in flight here.
         refusals: Versions that were refused and why.
         endpoints: Endpoints as it sees them.
-        groups: Groups that it changes the map of.
+        groups: Groups whose expert map it changes.
     """
 
     name: str
--- a/carawayhub/process/stop.py
+++ b/carawayhub/process/stop.py
@@ -1,4 +1,4 @@
-"""Planned stops: SIGTERM and SIGINT ask a process to end when its work is done."""
+"""Graceful shutdown: on SIGTERM or SIGINT a process ends once its work is done."""
 
 import signal
 
@@ -17,17 +17,17 @@
 
     @property
     def asked(self) -> bool:
-        """Whether a stop was asked for."""
+        """Whether a stop was requested."""
         return self._event.is_set()
 
     def ask(self, reason: str) -> None:
-        """Ask the process to stop; the first reason stays."""
+        """Request a stop; only the first reason is kept."""
         if not self._event.is_set():
             self.reason = reason
             self._event.set()
 
     async def wait(self) -> None:
-        """Return when a stop is asked for."""
+        """Wait until a stop is requested."""
         await self._event.wait()
 
 
@@ -35,5 +35,5 @@
     """Turn SIGTERM and SIGINT into a stop request, until cancelled."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for number in signals:
-            logger.info("stop asked for by {}", signal.Signals(number).name)
+            logger.info("stop requested by {}", signal.Signals(number).name)
             stop.ask(signal.Signals(number).name)
--- a/carawayhub/process/syncaudit.py
+++ b/carawayhub/process/syncaudit.py
@@ -1,4 +1,4 @@
-"""Puts what the synchronisation of the configuration tells into the audit trail and the log."""
+"""Records events of the configuration synchronisation in the audit trail and the log."""
 
 from loguru import logger
 
@@ -14,18 +14,18 @@
 
 
 class SyncAudit:
-    """Notes events; the version that comes into force is noted where it does."""
+    """Records synchronisation events; ``InForce`` records the version that comes into force."""
 
     __slots__ = ("_audit",)
 
     def __init__(self, audit: AuditTrail) -> None:
         self._audit = audit
 
-    def note(self, event: SyncEvent) -> None:
-        """Note one event."""
+    def record_event(self, event: SyncEvent) -> None:
+        """Record one event."""
         match event:
             case VersionAccepted(id=id, source=source, files_fetched=count):
-                logger.bind(version=id.version, source=source, files=count).info("version taken")
+                logger.bind(version=id.version, source=source, files=count).info("version accepted")
             case VersionRefused(id=id, source=source, error=error):
                 self._record(source, "", f"{id.version} refused", str(error))
             case VersionConflict(in_force=held, other=other, source=source):
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -95,7 +95,7 @@
 async def keep_links(owner: TwoPeers, peers: tuple[Peer, ...]) -> None:
     async with anyio.create_task_group() as tasks:
         links = LinkSet(owner, Prover(KEY, "near"), SystemClock(), random.Random(1), tasks)
-        links.want(peers)
+        links.set_peers(peers)
         await anyio.sleep_forever()
 
 
--- a/tests/test_observation.py
+++ b/tests/test_observation.py
@@ -17,7 +17,7 @@
 from carawayhub.http import HttpServer, bind
 from carawayhub.output.audit import AuditTrail, Subject
 from carawayhub.output.metrics import Metrics
-from carawayhub.process.operators import HealthBody, Operators
+from carawayhub.process.operators import HealthBody, OperatorApp
 from carawayhub.process.status import EndpointStatus, GroupStatusRow, ProcessStatus
 from carawayhub.status import ExitStatus
 
@@ -80,7 +80,7 @@
         trail = AuditTrail(f"entry:{name}", ManualClock(at))
         trail.record(Subject.ENDPOINT, "brest-1", "serving", "leaving", f"seen by {name}")
         health = HealthBody(name=name, ready=True, reason="")
-        return self.serve(Operators(trail, Metrics(), lambda: health, lambda: page(name)))
+        return self.serve(OperatorApp(trail, Metrics(), lambda: health, lambda: page(name)))
 
     def serve_text(self, status: int, body: bytes) -> str:
         async def app(scope: Any, receive: Any, send: Any) -> None:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -9,7 +9,7 @@
 from carawayhub.clock import ManualClock
 from carawayhub.output.audit import AuditTrail, Subject
 from carawayhub.output.metrics import Latency, Metrics
-from carawayhub.process.operators import HealthBody, Operators
+from carawayhub.process.operators import HealthBody, OperatorApp
 
 
 class OperatorsTest(unittest.IsolatedAsyncioTestCase):
@@ -22,7 +22,7 @@
         self.audit = AuditTrail("entry:e1", ManualClock())
         self.metrics = Metrics()
         status = {"version": 3}
-        self.app = Operators(self.audit, self.metrics, lambda: self.health, lambda: status)
+        self.app = OperatorApp(self.audit, self.metrics, lambda: self.health, lambda: status)
 
     async def get(self, path: str, query: bytes = b"", method: str = "GET") -> tuple[int, bytes]:
         sent: list[dict[str, Any]] = []
