--- a/benchmarks/link_parts.py
+++ b/benchmarks/link_parts.py
@@ -106,10 +106,10 @@
         """Return nothing."""
         return ()
 
-    def listed(self, vms: VmList) -> None:
+    def vm_list_received(self, vms: VmList) -> None:
         """Take nothing."""
 
-    def lost(self, peer: Peer) -> None:
+    def peer_lost(self, peer: Peer) -> None:
         """Take nothing."""
 
     def members_changed(self) -> None:
@@ -121,7 +121,7 @@
         if reply.report is not None:
             self._router.observe(reply.report, asked_at)
 
-    def heard(self, peer: Hello, heartbeat: Heartbeat) -> None:
+    def heartbeat_received(self, peer: Hello, heartbeat: Heartbeat) -> None:
         """Take demand as an entry does."""
         if self._role is ProcessRole.ENTRY:
             self._admission.hear(self._neighbour, 1, heartbeat.demand)
--- a/carawayhub/agent/process.py
+++ b/carawayhub/agent/process.py
@@ -189,7 +189,7 @@
         """Return no peers: entries open the links."""
         return ()
 
-    def listed(self, vms: VmList) -> None:
+    def vm_list_received(self, vms: VmList) -> None:
         """Take a VM list."""
         self._reporter.listed(vms)
         self._keys.listed(vms)
@@ -197,13 +197,13 @@
     def replied(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
         """Take nothing: an agent opens no links."""
 
-    def lost(self, peer: Peer) -> None:
+    def peer_lost(self, peer: Peer) -> None:
         """Take nothing: an agent opens no links."""
 
     def members_changed(self) -> None:
         """Take nothing: an agent opens no links."""
 
-    def heard(self, peer: Hello, heartbeat: Heartbeat) -> None:
+    def heartbeat_received(self, peer: Hello, heartbeat: Heartbeat) -> None:
         """Take nothing: what counts of an entry's heartbeat is its version."""
 
     def report(self, peer: Hello) -> EndpointReport | None:
--- a/carawayhub/entry/process.py
+++ b/carawayhub/entry/process.py
@@ -204,7 +204,7 @@
         self._agents, self._plan_key = found, key
         return found
 
-    def listed(self, vms: VmList) -> None:
+    def vm_list_received(self, vms: VmList) -> None:
         """Take a VM list."""
         self._update_leaving()
         self._update_away()
@@ -219,7 +219,7 @@
             run = self._runs[peer.name] = str(reply.incarnation)
             self._poison_news.heard(peer.name, run, reply.sequence)
 
-    def lost(self, peer: Peer) -> None:
+    def peer_lost(self, peer: Peer) -> None:
         """Note that a peer cannot be reached."""
         self._runs.pop(peer.name, None)
         if peer.role is ProcessRole.AGENT:
@@ -231,7 +231,7 @@
         self._admission.set_gone(self._gone_entries())
         self._update_away()
 
-    def heard(self, peer: Hello, heartbeat: Heartbeat) -> None:
+    def heartbeat_received(self, peer: Hello, heartbeat: Heartbeat) -> None:
         """Take a heartbeat of another entry."""
         if peer.role is ProcessRole.ENTRY:
             self._admission.hear(peer.name, peer.incarnation, heartbeat.demand)
--- a/carawayhub/process/exchange.py
+++ b/carawayhub/process/exchange.py
@@ -126,7 +126,7 @@
         self._knowledge.sync.forget(peer.key)
         self._knowledge.vms.forget(peer.key)
         self._knowledge.membership.failed(peer.key, reason)
-        self._role.lost(peer)
+        self._role.peer_lost(peer)
 
     # Links that this process accepts.
 
@@ -163,7 +163,7 @@
             # agent was paused. One that echoes the current pause count was sent after the reply
             # that carried this count, and so after the pause.
             knowledge.confirm_configuration(key, heartbeat.version, heartbeat.echo)
-        self._role.heard(peer, heartbeat)
+        self._role.heartbeat_received(peer, heartbeat)
 
     def _drop_silent(self) -> None:
         oldest = self._clock.monotonic() - INBOUND_EXPIRY_TIMEOUTS * self.intervals().timeout
--- a/carawayhub/process/member.py
+++ b/carawayhub/process/member.py
@@ -222,7 +222,7 @@
             if self.configuration is None:
                 self._watch_as_only_candidate()
             self.knowledge.membership.listed(vms)
-            self._role.listed(vms)
+            self._role.vm_list_received(vms)
             self._relink.notify()
 
     async def _handle_member_changes(self) -> None:
@@ -300,7 +300,7 @@
             if peer.key not in opened:
                 self.knowledge.sync.forget(peer.key)
                 self.knowledge.vms.forget(peer.key)
-                self._role.lost(peer)
+                self._role.peer_lost(peer)
 
     def _known_peers(self) -> frozenset[str]:
         return frozenset() if self._exchange is None else self._exchange.known_peers
--- a/carawayhub/process/role.py
+++ b/carawayhub/process/role.py
@@ -35,19 +35,19 @@
     async def peers(self, cfg: Configuration, vms: VmList | None) -> Sequence[WantedPeer]:
         """Return the peers to open links to."""
 
-    def listed(self, vms: VmList) -> None:
+    def vm_list_received(self, vms: VmList) -> None:
         """Apply a VM list."""
 
     def replied(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
         """Process a reply on a link that this process opened."""
 
-    def lost(self, peer: Peer) -> None:
+    def peer_lost(self, peer: Peer) -> None:
         """Handle a peer that cannot be reached or is no longer linked."""
 
     def members_changed(self) -> None:
         """Handle a change of any peer's state in the membership."""
 
-    def heard(self, peer: Hello, heartbeat: Heartbeat) -> None:
+    def heartbeat_received(self, peer: Hello, heartbeat: Heartbeat) -> None:
         """Process a heartbeat on a link that a peer opened."""
 
     def report(self, peer: Hello) -> EndpointReport | None:
