--- a/carawayhub/process/member.py
+++ b/carawayhub/process/member.py
@@ -205,7 +205,7 @@
 
         Agents receive versions from the entries that they are linked with. At full size an entry
         has some eighty agents, and each would send every change back to it. An agent that doesn't
-        read the platform therefore reports the version only with its heartbeats, which is soon
+        read the platform therefore reports the version only in heartbeat replies, which is soon
         enough.
         """
         while True:
