--- a/carawayhub/agent/process.py
+++ b/carawayhub/agent/process.py
@@ -40,7 +40,7 @@
 from carawayhub.peers.server import UnaryCall
 from carawayhub.platform.ports import VmList
 from carawayhub.process.host import Host
-from carawayhub.process.operators import Operators
+from carawayhub.process.operators import OperatorApp
 from carawayhub.process.role import WantedPeer
 from carawayhub.process.runtime import Runtime
 from carawayhub.process.status import EndpointStatus, ProcessStatus
@@ -94,7 +94,7 @@
         self._group = GroupTask(
             local_agent,
             member.knowledge.pauses.check,
-            member.knowledge.checked,
+            member.knowledge.wait_until_verified,
             self._lease,
             self._reporter,
             clock,
@@ -196,7 +196,7 @@
         """Return no peers: entries open the links."""
         return ()
 
-    def listed(self, vms: VmList) -> None:
+    def vm_list_received(self, vms: VmList) -> None:
         """Apply a VM list."""
         self._reporter.listed(vms)
         self._keys.listed(vms)
@@ -204,13 +204,13 @@
     def replied(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
         """Do nothing: an agent opens no links."""
 
-    def lost(self, peer: Peer) -> None:
+    def peer_lost(self, peer: Peer) -> None:
         """Do nothing: an agent opens no links."""
 
     def members_changed(self) -> None:
         """Do nothing: an agent opens no links."""
 
-    def heard(self, peer: Hello, heartbeat: Heartbeat) -> None:
+    def heartbeat_received(self, peer: Hello, heartbeat: Heartbeat) -> None:
         """Do nothing: only the version of an entry's heartbeat matters."""
 
     def report(self, peer: Hello) -> EndpointReport | None:
@@ -227,8 +227,8 @@
 
     # Interface for operators.
 
-    def _operators(self) -> Operators:
-        return Operators(
+    def _operators(self) -> OperatorApp:
+        return OperatorApp(
             self.runtime.audit, self.runtime.metrics, self.runtime.health, self._status
         )
 
--- a/carawayhub/entry/process.py
+++ b/carawayhub/entry/process.py
@@ -37,7 +37,7 @@
 )
 from carawayhub.platform.ports import VmList, VmState
 from carawayhub.process.host import Host
-from carawayhub.process.operators import Operators
+from carawayhub.process.operators import OperatorApp
 from carawayhub.process.role import WantedPeer
 from carawayhub.process.runtime import Runtime
 from carawayhub.process.status import EndpointStatus, ProcessStatus
@@ -67,7 +67,7 @@
         self._listen = bind(Address.parse(settings.listen))
         self._router = Router(clock, rng, identity.failure_domain, identity.region)
         self._admission = Admission(clock, rng, identity.name, self._router.load_of)
-        runtime.waits_for = self._waits_for
+        runtime.pending_reason = self._waits_for
         self._retries = RetryBudget(clock, rng)
         self._directory = EntryDirectory(clock, rng)
         self._reports = Reports()
@@ -93,7 +93,7 @@
                 metrics,
                 runtime.ready,
                 runtime.member.knowledge.pauses.check,
-                runtime.member.knowledge.checked,
+                runtime.member.knowledge.wait_until_verified,
             )
         )
         self._demand: tuple[OrganisationDemand, ...] = ()
@@ -204,7 +204,7 @@
         self._agents, self._plan_key = found, key
         return found
 
-    def listed(self, vms: VmList) -> None:
+    def vm_list_received(self, vms: VmList) -> None:
         """Apply a new VM list."""
         self._update_leaving()
         self._update_away()
@@ -219,7 +219,7 @@
             run = self._runs[peer.name] = str(reply.incarnation)
             self._poison_news.acknowledge(peer.name, run, reply.sequence)
 
-    def lost(self, peer: Peer) -> None:
+    def peer_lost(self, peer: Peer) -> None:
         """Discard the state of a peer that cannot be reached."""
         self._runs.pop(peer.name, None)
         if peer.role is ProcessRole.AGENT:
@@ -231,7 +231,7 @@
         self._admission.set_removed_entries(self._gone_entries())
         self._update_away()
 
-    def heard(self, peer: Hello, heartbeat: Heartbeat) -> None:
+    def heartbeat_received(self, peer: Hello, heartbeat: Heartbeat) -> None:
         """Process a heartbeat of another entry."""
         if peer.role is ProcessRole.ENTRY:
             self._admission.update_demand(peer.name, peer.incarnation, heartbeat.demand)
@@ -307,8 +307,8 @@
 
     # Operator interface.
 
-    def _operators(self) -> Operators:
-        return Operators(
+    def _operators(self) -> OperatorApp:
+        return OperatorApp(
             self.runtime.audit, self.runtime.metrics, self.runtime.health, self._status
         )
 
