--- a/tests/test_relay_poison.py
+++ b/tests/test_relay_poison.py
@@ -140,7 +140,7 @@
         rows = first.ends(peer, 2)
         self.assertEqual(len(rows), 1)
         self.assertEqual(len(first.ends(peer, 3)), 1)
-        second.heard(hello, Heartbeat(sequence=3, version=1, digest="", ends=rows))
+        second.heartbeat_received(hello, Heartbeat(sequence=3, version=1, digest="", ends=rows))
         self.assertEqual(second._poison_news.records.ends(CONTENT), 1)
         replies(3, incarnation=5)
         self.assertEqual(first.ends(peer, 4), ())
