--- a/carawayhub/agent/gate.py
+++ b/carawayhub/agent/gate.py
@@ -33,7 +33,12 @@
     MAX_BODY_BYTES,
     REQUEST_ID_HEADER,
 )
-from carawayhub.endpoints.upstream import ONE_REQUEST, Upstream, UpstreamRequest, UpstreamTimeouts
+from carawayhub.endpoints.upstream import (
+    CONNECTION_CLOSE,
+    Upstream,
+    UpstreamRequest,
+    UpstreamTimeouts,
+)
 from carawayhub.errors import PeerError, RequestError
 from carawayhub.fleet.pauses import PauseDetector
 from carawayhub.headers import as_bytes, as_text, without
@@ -280,7 +285,7 @@
         headers.append((b"content-length", b"%d" % len(req.body)))
         headers.append((REQUEST_ID_HEADER, req.request_id.encode()))
         headers.append((DEADLINE_HEADER, b"%d" % (left * 1000)))
-        headers.append(ONE_REQUEST)
+        headers.append(CONNECTION_CLOSE)
         return UpstreamRequest(
             endpoint=self._endpoint,
             url=endpoint.url + req.path,
--- a/carawayhub/endpoints/__init__.py
+++ b/carawayhub/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoints as the system meets them: connections for requests, and what engines say and obey."""
+"""Clients for endpoints: request connections, load, cache events and expert counters."""
--- a/carawayhub/endpoints/body.py
+++ b/carawayhub/endpoints/body.py
@@ -1,25 +1,25 @@
-"""The body of a streamed answer, read so that small parts cost little.
+"""Reads the body of a streamed answer and coalesces small parts.
 
 An engine sends a chunk for each token, and each read of a connection costs far more than the chunk
-it brings. So where parts come faster than the join window, the next read after one that had to wait
-is put off for that window: what comes meanwhile gathers in the socket and is read at once. Tokens
-that come further apart than the window are never held back, and neither is the first.
+it returns. Where parts arrive faster than the join window, the next read after one that had to wait
+is delayed by that window: data that arrives meanwhile is buffered in the socket and read at once.
+Tokens that arrive further apart than the window are never delayed, and neither is the first.
 """
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 
 import anyio
 
-WAITED = 0.001
-"""Seconds from which on a part counts as waited for; one that was read before comes at once."""
+MIN_WAIT_SECONDS = 0.001
+"""Minimum seconds for a read to count as having waited; a buffered part returns sooner."""
 
 
 class StreamBody:
-    """Parts of one body.
+    """The parts of one body.
 
     Args:
         parts: The body as ``httpcore`` reads it.
-        join: Seconds for which the next read may be put off, 0 for never.
+        join: Join window: seconds by which the next read may be delayed, 0 for never.
         now: Source of time.
         sleep: Waits for some seconds.
     """
@@ -44,9 +44,9 @@
         """Return the next part, empty at the end of the body.
 
         Raises:
-            httpcore.ReadTimeout: Nothing came for too long.
-            httpcore.NetworkError: The connection broke or ended before the body did.
-            httpcore.RemoteProtocolError: What came is no HTTP.
+            httpcore.ReadTimeout: No data arrived within the read timeout.
+            httpcore.NetworkError: The connection failed or closed before the end of the body.
+            httpcore.RemoteProtocolError: The data received is not valid HTTP.
         """
         asked_at = self._now()
         if asked_at < self._next_read:
@@ -60,9 +60,9 @@
         return part
 
     def _note(self, asked_at: float) -> None:
-        """Put the next read off where parts come faster than the window."""
+        """Delay the next read where parts arrive faster than the join window."""
         now = self._now()
-        if now - asked_at < WAITED:
+        if now - asked_at < MIN_WAIT_SECONDS:
             return
         before, self._read_at = self._read_at, now
         if now - before < self._join:
--- a/carawayhub/endpoints/checkedwrites.py
+++ b/carawayhub/endpoints/checkedwrites.py
@@ -1,13 +1,13 @@
-"""Connections on which each write asks first whether it may still go out.
-
-A process may be suspended at any point, also between a check and the write that the check was for:
-the check then speaks of a moment that is long past. An event loop widens that gap, since it opens
-connections, waits its turn and gathers writes between the two. Here the check stands right before
-the system call, with no step of the event loop in between, and a message that was begun before a
-suspension is not completed after it. The check itself takes a moment, so an answer that is not
-fresh any more when the call is about to be made is asked for again. What is left is a suspension
-between that look at the clock and the call, less than a microsecond; a receiver that must be safe
-from that too has to check who writes.
+"""Connections that check before each write whether it is still permitted.
+
+A process may be suspended at any point, also between a check and the write it was made for; the
+result of the check is then out of date. An event loop widens that gap, since it opens connections,
+schedules other tasks and buffers writes between the two. Here the check is made right before the
+system call, with no step of the event loop in between, and a message that was begun before a
+suspension is not completed after it. The check itself takes time, so it is repeated if its result
+has expired when the call is about to be made. What remains is a suspension between reading the
+clock and the call, less than a microsecond; a receiver that must be safe from that too has to check
+the identity of the sender.
 """
 
 import errno
@@ -22,14 +22,14 @@
 
 from carawayhub.clock import Clock, SystemClock
 
-FRESH_SECONDS = 0.1
-"""Seconds for which an answer holds: more than asking takes, less than a pause that counts."""
+CHECK_VALID_SECONDS = 0.1
+"""Seconds for which a check is valid: longer than the check takes, less than a relevant pause."""
 
 MaySend = Callable[[], bool]
 
 
 class WithheldError(Exception):
-    """A write was not made, since what it says may no longer hold."""
+    """A write was not made, since it is no longer permitted."""
 
 
 class CheckedNetwork(httpcore.AsyncNetworkBackend):
@@ -57,8 +57,8 @@
         """Connect to an address.
 
         Raises:
-            httpcore.ConnectError: Nobody listens there, or nothing is known of the name.
-            httpcore.ConnectTimeout: No answer came in time.
+            httpcore.ConnectError: The connection was refused, or the name is unknown.
+            httpcore.ConnectTimeout: The connection was not established in time.
         """
         with _errors_of_httpcore(httpcore.ConnectError), _within(timeout, httpcore.ConnectTimeout):
             found = await anyio.getaddrinfo(host, port, type=socket.SOCK_STREAM)
@@ -76,7 +76,7 @@
     """One connection; ``httpcore`` reads and writes it.
 
     Args:
-        sock: A connected socket that does not block.
+        sock: A connected, non-blocking socket.
         may_send: Called right before each write.
         clock: Source of time.
     """
@@ -89,7 +89,7 @@
         self._clock = clock
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Return what has come, nothing at the end of the connection."""
+        """Return the data received, empty at the end of the connection."""
         with _errors_of_httpcore(httpcore.ReadError), _within(timeout, httpcore.ReadTimeout):
             while True:
                 await anyio.wait_readable(self._sock)
@@ -102,17 +102,17 @@
         """Write all of ``buffer``.
 
         Raises:
-            WithheldError: What is not written yet may no longer go out.
+            WithheldError: The rest of the buffer may no longer be sent.
         """
         left = memoryview(buffer)
         send, now = self._sock.send, self._clock.monotonic
         with _errors_of_httpcore(httpcore.WriteError), _within(timeout, httpcore.WriteTimeout):
             await anyio.lowlevel.checkpoint()
             while left:
-                fresh_until = now() + FRESH_SECONDS
+                valid_until = now() + CHECK_VALID_SECONDS
                 if not self._may_send():
                     raise WithheldError
-                if now() > fresh_until:
+                if now() > valid_until:
                     continue
                 try:
                     left = left[send(left) :]
@@ -120,19 +120,19 @@
                     await anyio.wait_writable(self._sock)
 
     async def aclose(self) -> None:
-        """Close the connection; whoever waits for it is woken."""
+        """Close the connection and resume the tasks that wait for it."""
         if self._sock.fileno() >= 0:
             anyio.notify_closing(self._sock)
             self._sock.close()
 
     def get_extra_info(self, info: str) -> Any:
-        """Return what ``httpcore`` asks: whether an idle connection has something to read."""
+        """Return the socket, or whether an idle connection is readable, for ``httpcore``."""
         if info == "is_readable":
             return self._has_input()
         return self._sock if info == "socket" else None
 
     def _has_input(self) -> bool:
-        """Return whether a read would not wait, as at the end of the connection."""
+        """Return whether a read would not block, as at the end of the connection."""
         try:
             self._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
--- a/carawayhub/endpoints/counters.py
+++ b/carawayhub/endpoints/counters.py
@@ -1,7 +1,7 @@
-"""Reads the counters of tokens per expert from a model engine over HTTP.
+"""Reads the token counters of each expert from a model engine over HTTP.
 
-``GET /experts/counters`` gives ``ExpertCounters`` as JSON. They lag, may skip reports, and start
-anew with the engine. An engine without them answers 404, and its group keeps its map.
+``GET /experts/counters`` returns ``ExpertCounters`` as JSON. The counters lag, may skip reports,
+and restart with the engine. An engine without them answers 404, and its group keeps its map.
 """
 
 import httpcore
@@ -17,9 +17,9 @@
     """The counters of the engine at an HTTP address.
 
     Args:
-        url: Base of the address.
-        layers: Layers with experts that the configuration declares.
-        experts: Experts a layer that it declares.
+        url: Base URL of the engine.
+        layers: Number of layers with experts in the configuration.
+        experts: Number of experts per layer in the configuration.
     """
 
     __slots__ = ("_experts", "_layers", "_pool", "_url")
@@ -31,7 +31,7 @@
         self._pool = httpcore.AsyncConnectionPool(max_connections=1, keepalive_expiry=60)
 
     async def read(self) -> ExpertCounters | None:
-        """Return the newest counters, None where there are none to be had."""
+        """Return the newest counters, None where none are available."""
         try:
             body = await read_endpoint(self._pool, self._url)
             found = msgspec.json.decode(body, type=ExpertCounters)
@@ -40,7 +40,7 @@
         shape = {len(row) for row in found.counts}
         if len(found.counts) != self._layers or shape != {self._experts}:
             logger.bind(url=self._url).warning(
-                "the counters are not of {} layers with {} experts as configured; the map is kept",
+                "counters do not match the configured {} layers of {} experts; map is kept",
                 self._layers,
                 self._experts,
             )
--- a/carawayhub/endpoints/endings.py
+++ b/carawayhub/endpoints/endings.py
@@ -1,4 +1,4 @@
-"""Endpoints that end under requests: found out, remembered, and kept from the next repetition."""
+"""Detects and records endpoints that end under requests, and rejects poison requests."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -14,9 +14,9 @@
 from carawayhub.errors import RequestError
 from carawayhub.limits.poison import ENDS_OF_POISON, PoisonRecords
 
-LOOKS = 2
-"""Looks at an endpoint that broke an answer off, while nothing answers at all: on a link that loses
-3 of 100 packets, one alone would miss one end in twenty."""
+PROBE_ATTEMPTS = 2
+"""Maximum probes of an endpoint that broke off an answer, made while none is answered: on a link
+that loses 3 of 100 packets, a single probe would miss one end in twenty."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -25,12 +25,12 @@
 
     Attributes:
         request: Id of the request, for logs.
-        fingerprint: Names what it asks.
+        fingerprint: Identifies the content of the request.
         endpoint: Id of the endpoint.
-        service: What it serves.
-        address: Where it listens.
-        lifetime: Key of this lifetime of it.
-        planned: Whether it was known to leave.
+        service: Service of the endpoint.
+        address: Address it listens on.
+        lifetime: Key of the endpoint's current lifetime.
+        planned: Whether the endpoint was known to be leaving.
         sent_at: When the request was sent to it.
     """
 
@@ -45,11 +45,11 @@
 
 
 class Endings:
-    """Sees to it that what endpoints end under is not sent to the next ones.
+    """Keeps requests under which endpoints ended from being sent to further endpoints.
 
     Args:
         upstream: Connections to endpoints.
-        records: Under which requests endpoints ended.
+        records: Records of the requests under which endpoints ended.
         clock: Source of time.
         on_end: Called with the service for each request whose endpoint ended under it.
     """
@@ -68,10 +68,10 @@
         self._clock = clock
         self._on_end = on_end
         self._waiting: dict[bytes, set[anyio.CancelScope]] = {}
-        records.on_poison = self._wake
+        records.on_poison = self._cancel_waiting
 
     def check(self, fingerprint: bytes) -> None:
-        """Refuse a request under which endpoints ended, before anything waits for it.
+        """Reject a poison request before it is queued.
 
         Raises:
             RequestError: POISON_REQUEST.
@@ -81,17 +81,16 @@
         self._records.came_again(fingerprint)
         raise self._refusal(fingerprint)
 
-    def may_go_on(self, fingerprint: bytes, sends: int) -> bool:
+    def may_resend(self, fingerprint: bytes, sends: int) -> bool:
         """Return whether a request may be sent again within one attempt of its caller.
 
-        Where one more end would make it refused, an attempt goes to one endpoint alone, and it is
-        left to the caller to come again. Sent on while groups formed anew, such requests reached
-        replicas four times where three ends were still needed, in 2 of 20 fleets that had lost all
-        entries.
+        Where one more end would make the request poison, an attempt is sent to one endpoint only
+        and the caller has to retry. Resent while groups form anew, such a request could reach
+        replicas four times where three ends were still needed to reject it.
 
         Args:
-            fingerprint: Names the request.
-            sends: Times that this attempt was sent.
+            fingerprint: Identifies the content of the request.
+            sends: Number of times this attempt was sent.
         """
         if self._records.is_poison(fingerprint):
             return False
@@ -99,10 +98,10 @@
 
     @contextmanager
     def waiting(self, fingerprint: bytes) -> Iterator[None]:
-        """Let a request wait for a place, but no longer than until it is known to be refused.
+        """Let a request wait for a slot, but only until it is known to be a poison request.
 
         Raises:
-            RequestError: POISON_REQUEST, as soon as a peer tells so.
+            RequestError: POISON_REQUEST, as soon as a peer reports it.
         """
         scopes = self._waiting.setdefault(fingerprint, set())
         scope = anyio.CancelScope()
@@ -118,16 +117,17 @@
             raise self._refusal(fingerprint)
 
     def answered(self, fingerprint: bytes) -> None:
-        """Note a whole answer."""
+        """Record a complete answer."""
         self._records.answered(fingerprint)
 
     async def broke_off(self, broken: BrokenAnswer) -> bool:
-        """Return whether an endpoint has ended that broke an answer off, and remember it.
+        """Return whether an endpoint that broke off an answer has ended, and record it if so.
 
-        Ranks of a group that lost another one break off answers as well, and so does a replica that
-        fails a single request; both go on listening. What leaves as planned ends with its drain.
+        Ranks of a group that lost another rank break off answers as well, and so does a replica
+        that fails a single request; both keep listening. An endpoint that leaves as planned ends
+        with its drain.
         """
-        listening = await self._look(broken.address)
+        listening = await self._probe(broken.address)
         ended = listening is Listening.NO and not broken.planned
         if ended:
             self._on_end(broken.service)
@@ -143,14 +143,14 @@
         ).info("endpoint ended under a request" if ended else "answer broke off")
         return ended
 
-    async def _look(self, address: Address) -> Listening:
-        for _ in range(LOOKS):
-            found = await self._upstream.look(address)
+    async def _probe(self, address: Address) -> Listening:
+        for _ in range(PROBE_ATTEMPTS):
+            found = await self._upstream.probe(address)
             if found is not Listening.UNKNOWN:
                 return found
         return Listening.UNKNOWN
 
-    def _wake(self, fingerprint: bytes) -> None:
+    def _cancel_waiting(self, fingerprint: bytes) -> None:
         for scope in self._waiting.get(fingerprint, ()):
             scope.cancel()
 
--- a/carawayhub/endpoints/joinedwrites.py
+++ b/carawayhub/endpoints/joinedwrites.py
@@ -1,10 +1,10 @@
 """Connections that send the head of a request together with its body.
 
-``httpcore`` writes the two one after the other. Whatever permits the request may run out between
-them, and a process may be suspended there: a body that still followed would complete a request that
-may have run elsewhere meanwhile, and one that did not would leave open what the endpoint makes of a
-head alone. Here the head waits until the body may follow, so that one look decides on both: the
-endpoint gets the whole request or nothing of it.
+``httpcore`` writes the two one after the other. The permit for the request may expire between them,
+and the process may be suspended there: a body sent after that would complete a request that may
+have run elsewhere meanwhile, and without the body it is unknown what the endpoint does with the
+head alone. Here the head is buffered until the body may follow, so that one check decides on both:
+the endpoint receives the complete request or nothing of it.
 """
 
 import ssl
@@ -15,7 +15,7 @@
 
 
 class JoinedNetwork(httpcore.AsyncNetworkBackend):
-    """Opens one connection and holds back what is written to it while it is told to.
+    """Opens one connection and buffers writes to it on request.
 
     Args:
         network: Opens the connection.
@@ -36,20 +36,20 @@
         local_address: str | None = None,
         socket_options: Iterable[Any] | None = None,
     ) -> "JoinedStream":
-        """Connect to an address, with the errors of the network given."""
+        """Connect to an address; raises the errors of the wrapped network."""
         stream = await self._network.connect_tcp(host, port, timeout, local_address, socket_options)
         return JoinedStream(stream, self)
 
     def hold(self) -> None:
-        """Hold back what is written from now on."""
+        """Start to buffer writes."""
         self._holding = True
 
     def release(self) -> None:
-        """Let what is held go out with the next write."""
+        """Stop buffering; buffered data is sent with the next write."""
         self._holding = False
 
     def take(self, buffer: bytes) -> bytes:
-        """Return what is to be written now, with what was held back before it."""
+        """Return the data to write now, with buffered data first."""
         self._held += buffer
         if self._holding:
             return b""
@@ -62,7 +62,7 @@
 
     Args:
         stream: The connection.
-        writes: Says what is to be written.
+        writes: Buffers writes and returns the data to send.
     """
 
     __slots__ = ("_stream", "_writes")
@@ -72,17 +72,17 @@
         self._writes = writes
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Return what has come, nothing at the end of the connection."""
+        """Return the data received, empty at the end of the connection."""
         return await self._stream.read(max_bytes, timeout)
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Write ``buffer`` after what is held back, or hold it back as well."""
+        """Write buffered data and ``buffer``, or buffer it as well."""
         data = self._writes.take(buffer)
         if data:
             await self._stream.write(data, timeout)
 
     async def aclose(self) -> None:
-        """Close the connection; what is held back is never written."""
+        """Close the connection and discard buffered data."""
         await self._stream.aclose()
 
     async def start_tls(
@@ -96,5 +96,5 @@
         return JoinedStream(stream, self._writes)
 
     def get_extra_info(self, info: str) -> Any:
-        """Return what ``httpcore`` asks of the connection."""
+        """Return information on the connection for ``httpcore``."""
         return self._stream.get_extra_info(info)
--- a/carawayhub/endpoints/ports.py
+++ b/carawayhub/endpoints/ports.py
@@ -1,4 +1,4 @@
-"""What an agent needs of the endpoint beside it."""
+"""Interface through which an agent reads its local endpoint."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -7,12 +7,12 @@
 
 
 class Load(msgspec.Struct, frozen=True, kw_only=True):
-    """What an engine says of its load, some time after it was so.
+    """Load as reported by an engine, with some delay.
 
     Attributes:
-        running: Requests that run.
-        queued: Requests that wait.
-        capacity: Requests that can run at once.
+        running: Number of running requests.
+        queued: Number of queued requests.
+        capacity: Maximum number of concurrent requests.
         step_seconds: Recent mean time of one step.
         tokens_rate: Tokens a second generated recently.
     """
@@ -29,9 +29,9 @@
     """One change of an engine's prefix cache.
 
     Attributes:
-        number: Number of the event; one that is missing was lost.
-        added: Whether the block came in; else it was evicted.
-        block: Its hash.
+        number: Sequence number of the event; a missing number is a lost event.
+        added: Whether the block was added; otherwise it was evicted.
+        block: Hash of the block.
     """
 
     number: int
@@ -46,7 +46,7 @@
         """Return the endpoint's load.
 
         Raises:
-            PlatformError: It does not answer, or not with what can be read.
+            PlatformError: The endpoint did not answer, or its answer could not be decoded.
         """
 
     async def cache_changes(self, after: int) -> tuple[CacheChange, ...]:
--- a/carawayhub/endpoints/sockets.py
+++ b/carawayhub/endpoints/sockets.py
@@ -1,4 +1,4 @@
-"""Options of TCP connections whose other end may vanish without a word."""
+"""Options for TCP connections whose peer may disappear without closing them."""
 
 import socket
 import struct
@@ -7,10 +7,10 @@
 """Seconds of silence on an idle connection before it is probed, and between two probes."""
 
 UNACKNOWLEDGED_MS = 1200
-"""Milliseconds for which sent bytes may stay unacknowledged.
+"""Maximum milliseconds for which sent bytes may stay unacknowledged.
 
-Round trips take a few milliseconds and a lost packet is sent again within 200 ms, so a connection
-that acknowledges nothing for this long has lost its other end.
+Round trips take a few milliseconds and a lost packet is retransmitted within 200 ms, so a
+connection that acknowledges nothing for this long has lost its peer.
 """
 
 SocketOption = (
@@ -25,22 +25,22 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
 ]
-"""Make a connection break whose other end lost power, was cut off or forgot about it.
+"""Fail a connection whose peer lost power, was disconnected or lost the connection's state.
 
-Such a connection shows nothing at all: reads wait for ever, while new connections work.
+Such a connection reports no error: reads block forever, while new connections work.
 """
 
-_LINGER_FOR_NO_TIME = struct.pack("ii", 1, 0)
+_ZERO_LINGER = struct.pack("ii", 1, 0)
 
 ABORTING_OPTIONS: list[SocketOption] = [
     *LIVENESS_OPTIONS,
-    (socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_FOR_NO_TIME),
+    (socket.SOL_SOCKET, socket.SO_LINGER, _ZERO_LINGER),
 ]
-"""Make the close of a connection a reset.
+"""Close connections with a reset.
 
-Guards against requests that run for callers who have left. A VM that is suspended still takes bytes
-in; after an orderly close its endpoint finds a whole request when it wakes, from a caller that may
-only have ended its sending. A reset drops what is still on the way, and the endpoint learns with
-its first look that nobody waits. Whole answers were read before their connection is closed, so
-nothing else is lost.
+Guards against requests that run for callers who have disconnected. A suspended VM still receives
+bytes; after an orderly close its endpoint finds a complete request when it resumes, and cannot tell
+whether the caller only closed its sending side. A reset discards data in flight, and the first
+read fails at the endpoint. Complete answers are read before their connection is closed, so nothing
+else is lost.
 """
--- a/carawayhub/endpoints/upstream.py
+++ b/carawayhub/endpoints/upstream.py
@@ -1,9 +1,9 @@
 """Requests to endpoints, over ``httpcore``.
 
-Each address has idle connections of its own. One on which a request timed out or was cancelled is
-closed and never used again, so a late answer finds no reader. ``httpcore``'s own pool looks at all
-of its connections, also the busy ones, for each request; here a request takes the idle connection
-that was used last, whatever the number of open streams.
+Each address has its own idle connections. A connection on which a request timed out or was
+cancelled is closed and never reused, so a late answer is not read. ``httpcore``'s own pool scans
+all of its connections, also the busy ones, for each request; here a request uses the most recently
+used idle connection, regardless of the number of open streams.
 """
 
 from collections import deque
@@ -28,28 +28,28 @@
 KEEPALIVE_SECONDS = 15.0
 MAX_IDLE = 64
 NO_BODY_STATUS = (204, 304)
-ONE_REQUEST = (b"connection", b"close")
-"""Header that keeps a connection to one request.
+CONNECTION_CLOSE = (b"connection", b"close")
+"""Header that limits a connection to one request.
 
 Guards against an answer that is delivered twice. The second copy would stay in the connection and
-be read as the answer to the next request. A model's answers show by their id whose they are, those
-of a plain service need not, so its connections carry one request each.
+be read as the answer to the next request. Answers of a model carry an id that identifies their
+request, those of a plain service may not, so its connections carry one request each.
 """
 
-LOOK_TIMEOUT = 0.25
-"""Seconds in which an endpoint must take or refuse a connection when its state is looked at: some
-round trips between failure domains."""
+PROBE_TIMEOUT = 0.25
+"""Seconds in which a probed endpoint must accept or refuse a connection: some round trips between
+failure domains."""
 
 NotSent = (httpcore.ConnectError, httpcore.ConnectTimeout, httpcore.PoolTimeout)
 Broken = (httpcore.NetworkError, httpcore.RemoteProtocolError, httpcore.LocalProtocolError)
 
 
 class Listening(Enum):
-    """What a look at an endpoint's address showed.
+    """Result of probing an endpoint's address.
 
     Attributes:
-        YES: A process takes connections there.
-        NO: The VM answers, and no process takes connections.
+        YES: A process accepts connections there.
+        NO: The VM answers, but no process accepts connections.
         UNKNOWN: Nothing answered in time.
     """
 
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class UpstreamTimeouts:
-    """Seconds of silence allowed on one request, changed as it proceeds.
+    """Seconds of silence allowed on one request, updated as it proceeds.
 
     Attributes:
         values: The mapping that ``httpcore`` reads before each wait.
@@ -70,7 +70,7 @@
 
     @classmethod
     def waiting(cls, seconds: float) -> "UpstreamTimeouts":
-        """Return the times that hold until the answer begins or comes whole."""
+        """Return the timeouts until the answer begins or is complete."""
         return cls({"connect": CONNECT_TIMEOUT, "read": seconds, "write": seconds, "pool": seconds})
 
     def streaming(self, seconds: float) -> None:
@@ -80,18 +80,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class UpstreamRequest:
-    """What goes to an endpoint.
+    """A request to an endpoint.
 
     Attributes:
         endpoint: Name of the endpoint.
-        url: Whole URL.
+        url: Complete URL.
         method: HTTP method.
         headers: Headers in order.
-        body: The whole body.
+        body: Complete body.
         timeouts: Silence allowed.
-        still_allowed: Called once when the connection stands, right before the request goes out
-            as a whole; may note that it does.
-        target: Path and query exactly as they are to be sent; those of ``url`` where empty.
+        still_allowed: Called once when the connection is established, right before the complete
+            request is sent; may record that it is sent.
+        target: Path and query exactly as sent; those of ``url`` where empty.
         fresh: Whether it needs a connection on which nothing was sent before.
     """
 
@@ -107,7 +107,7 @@
 
 
 class UpstreamResponse:
-    """The head of an answer, and its body in one of two ways.
+    """The head of an answer, and access to its body.
 
     Attributes:
         status: HTTP status.
@@ -127,10 +127,10 @@
 
     @property
     def framed(self) -> bool:
-        """Whether the head says where the body ends.
+        """Whether the head defines where the body ends.
 
-        Without a length or chunks the end of the connection is the end of the answer, and a cut one
-        looks whole.
+        Without a length or chunks the end of the connection is the end of the answer, and a
+        truncated answer appears complete.
         """
         names = {name.lower() for name, _ in self.headers}
         if b"content-length" in names or b"transfer-encoding" in names:
@@ -145,8 +145,8 @@
         """Return the body of a stream.
 
         Args:
-            silence: Seconds of silence after which the connection is given up.
-            join: Seconds for which small parts may be gathered, 0 for none.
+            silence: Seconds without data after which the connection is closed.
+            join: Seconds for which small parts may be coalesced, 0 for none.
         """
         self._timeouts.streaming(silence)
         return StreamBody(self._response.aiter_stream(), join, self._clock.monotonic)
@@ -159,7 +159,7 @@
         source: IP number to connect from, empty for any.
         backend: Opens connections; that of ``httpcore`` if None.
         clock: Source of time; that of the machine if None. It must count suspensions, during which
-            an endpoint closes what lies idle.
+            an endpoint closes idle connections.
     """
 
     __slots__ = ("_backend", "_clock", "_idle", "_next_sweep", "_source")
@@ -178,7 +178,7 @@
 
     @asynccontextmanager
     async def open(self, req: UpstreamRequest) -> AsyncIterator[UpstreamResponse]:
-        """Send a request and give its response while the ``with`` runs.
+        """Send a request and yield its response.
 
         Raises:
             RequestError: CONNECT_FAILED or ENDPOINT_LEAVING where no byte was sent; ANSWER_STALLED,
@@ -199,23 +199,23 @@
             raise RequestError(Code.CONNECT_FAILED, req.endpoint, retry_after=1.0) from exc
         except httpcore.TimeoutException as exc:
             await self._drop_unproven(req, began_at)
-            raise RequestError(Code.ANSWER_STALLED, f"{req.endpoint} went silent") from exc
+            raise RequestError(Code.ANSWER_STALLED, f"{req.endpoint} sent no data in time") from exc
         except Broken as exc:
             if not guard.sent:
                 raise RequestError(Code.CONNECT_FAILED, req.endpoint, retry_after=1.0) from exc
             raise RequestError(Code.ANSWER_CUT, f"{req.endpoint}: {exc}") from exc
 
-    async def look(self, address: Address) -> Listening:
-        """Return whether a process takes connections at an address.
+    async def probe(self, address: Address) -> Listening:
+        """Return whether a process accepts connections at an address.
 
-        Tells an endpoint that has ended from one that only broke a connection: the VM of the first
-        refuses further ones at once.
+        Distinguishes an endpoint that has ended from one that only closed a connection: the VM of
+        the former refuses new connections at once.
         """
         try:
             stream = await self._backend.connect_tcp(
                 address.host,
                 address.port,
-                timeout=LOOK_TIMEOUT,
+                timeout=PROBE_TIMEOUT,
                 local_address=self._source or None,
             )
         except NotSent as exc:
@@ -234,14 +234,14 @@
         idle = None if req.fresh else self._idle.get(_address(req))
         while idle:
             conn = idle.pop()
-            if conn.is_available() and not self._is_spent(conn):
+            if conn.is_available() and not self._is_expired(conn):
                 return conn
             await conn.aclose()
         return _Connection(req, self._source, JoinedNetwork(self._backend))
 
     async def _keep(self, req: UpstreamRequest, conn: "_Connection") -> None:
-        """Keep a connection whose answer ended whole for the next request to the same address."""
-        if not conn.is_idle() or _holds_surplus(conn):
+        """Keep a connection with a complete answer for the next request to the same address."""
+        if not conn.is_idle() or _has_trailing_data(conn):
             await conn.aclose()
             return
         idle = self._idle.setdefault(_address(req), deque())
@@ -251,28 +251,29 @@
             await idle.popleft().aclose()
         await self._sweep()
 
-    def _is_spent(self, conn: "_Connection") -> bool:
-        """Return whether a kept connection lay idle for long or was closed by the endpoint."""
-        lies_long = self._clock.monotonic() >= conn.kept_at + KEEPALIVE_SECONDS
-        return lies_long or conn.has_expired()
+    def _is_expired(self, conn: "_Connection") -> bool:
+        """Return whether a kept connection was idle too long or was closed by the endpoint."""
+        idle_too_long = self._clock.monotonic() >= conn.kept_at + KEEPALIVE_SECONDS
+        return idle_too_long or conn.has_expired()
 
     async def _drop_unproven(self, req: UpstreamRequest, since: float) -> None:
         """Close the idle connections to an endpoint that have answered nothing since then.
 
-        What lost track of one connection may have lost the others, and each would cost a request.
+        Where a middlebox lost the state of one connection it may have lost the others, and each
+        would fail a request.
         """
         idle = self._idle.get(_address(req))
         while idle and idle[0].kept_at < since:
             await idle.popleft().aclose()
 
     async def _sweep(self) -> None:
-        """Now and then close what lies idle for long, also of endpoints that are gone."""
+        """Periodically close expired idle connections, also those of endpoints that are gone."""
         now = self._clock.monotonic()
         if now < self._next_sweep:
             return
         self._next_sweep = now + KEEPALIVE_SECONDS
         for address, idle in list(self._idle.items()):
-            while idle and self._is_spent(idle[0]):
+            while idle and self._is_expired(idle[0]):
                 await idle.popleft().aclose()
             if not idle:
                 del self._idle[address]
@@ -284,7 +285,7 @@
     Args:
         req: The first request on it.
         source: IP number to connect from, empty for any.
-        writes: Opens it, and joins what is written.
+        writes: Opens the connection and joins head and body in one write.
 
     Attributes:
         kept_at: When its newest answer ended, by the clock of ``Upstream``.
@@ -303,7 +304,7 @@
 
 
 def _is_refusal(exc: BaseException | None) -> bool:
-    """Return whether a connect failed because nobody listens."""
+    """Return whether a connect failed because it was refused."""
     while exc is not None:
         if isinstance(exc, ConnectionRefusedError):
             return True
@@ -311,20 +312,20 @@
     return False
 
 
-def _holds_surplus(conn: httpcore.AsyncHTTPConnection) -> bool:
-    """Return whether bytes came after the answer.
+def _has_trailing_data(conn: httpcore.AsyncHTTPConnection) -> bool:
+    """Return whether bytes were received after the answer.
 
     Guards against an answer that is delivered twice in one piece. The second copy stays in the
-    parser's buffer, where a look at the socket does not find it, and would be read as the answer to
-    the next request. ``httpcore`` shows that buffer only for upgraded connections; a test fails
-    when it moves.
+    parser's buffer, where a check of the socket does not find it, and would be read as the answer
+    to the next request. ``httpcore`` exposes that buffer only for upgraded connections; a test
+    fails if its location changes.
     """
     parser = getattr(getattr(conn, "_connection", None), "_h11_state", None)
     return parser is not None and bool(parser.trailing_data[0])
 
 
 def _address(req: UpstreamRequest) -> str:
-    """Return where a request goes; an endpoint that moved gets none on an old connection."""
+    """Return host and port; an endpoint that moved gets no request on an old connection."""
     return req.url.split("/", 3)[2]
 
 
@@ -339,7 +340,7 @@
 
 
 def _url(req: UpstreamRequest) -> httpcore.URL:
-    """Return where a request goes, with the path as it was given where one was.
+    """Return the URL of a request, with the target as given if there is one.
 
     Parsing would drop what follows a semicolon in the last part of a path.
     """
@@ -350,13 +351,13 @@
 
 
 class _SendGuard:
-    """Checks the permit right before a request goes out, and notes that it does.
+    """Checks the permit right before a request is sent, and records that it is sent.
 
     Between the choice of an endpoint and the first byte lie a connect and, in a process that was
-    paused, any length of time. A permit that ran out meanwhile would put new work on an endpoint
-    that is leaving, so it is looked at once more at the last moment; raising here makes
-    ``httpcore`` close the connection with nothing sent. The head waits for the body until then,
-    since a look at the head alone would let the body follow after a pause.
+    suspended, any length of time. A permit that expired meanwhile would send new work to an
+    endpoint that is leaving, so it is checked again right before sending; raising here makes
+    ``httpcore`` close the connection with nothing sent. The head is buffered until then, since a
+    check before the head alone would let the body follow after a suspension.
     """
 
     __slots__ = ("_req", "_writes", "sent")
@@ -367,7 +368,7 @@
         self.sent = False
 
     async def trace(self, event: str, info: dict[str, Any]) -> None:
-        """Take an event of ``httpcore``; look at the permit before what the endpoint waits for."""
+        """Handle a trace event of ``httpcore``; check the permit before the body is sent."""
         if event == "http11.send_request_headers.started":
             self._writes.hold()
         elif event == "http11.send_request_body.started":
@@ -375,7 +376,7 @@
             self._writes.release()
 
     def _check(self) -> None:
-        """Raise where the endpoint may take no new work, else note that the request goes out."""
+        """Raise if the endpoint may receive no new work, else record that the request is sent."""
         if not self._req.still_allowed():
             raise RequestError(Code.ENDPOINT_LEAVING, self._req.endpoint, retry_after=0.1)
         self.sent = True
--- a/carawayhub/endpoints/watch.py
+++ b/carawayhub/endpoints/watch.py
@@ -1,7 +1,7 @@
 """Reads an endpoint's load and cache events over HTTP.
 
 Model engines answer ``GET /load`` and ``GET /cache/events``. Plain services answer ``GET /health``
-alone, so their load is what the agent's own gate and the entries count.
+only, so their load is what the agent's gate and the entries count.
 """
 
 from enum import Enum
@@ -77,7 +77,7 @@
         self._pool = httpcore.AsyncConnectionPool(max_connections=2, keepalive_expiry=30)
 
     async def load(self) -> Load:
-        """Return no load where the service answers."""
+        """Return an empty load if the service answers."""
         await read_endpoint(self._pool, self._url + "/health")
         return Load(capacity=self._capacity)
 
@@ -100,8 +100,8 @@
         with anyio.fail_after(ANSWER_TIMEOUT):
             response = await pool.request("GET", url)
     except Exception as exc:
-        # A connection that breaks in the middle of a call also shows as an AttributeError or a
-        # RuntimeError of the libraries below. It must not end the agent: it is a lost answer.
+        # A connection that fails during a call can also raise an AttributeError or a
+        # RuntimeError in the HTTP libraries. It must not end the agent: it is a lost answer.
         raise PlatformError(Code.PLATFORM_UNREACHABLE, f"{url}: {exc!r}") from exc
     if response.status != OK_STATUS:
         raise PlatformError(Code.PLATFORM_UNREACHABLE, f"{url}: status {response.status}")
--- a/carawayhub/entry/relay.py
+++ b/carawayhub/entry/relay.py
@@ -20,7 +20,7 @@
     STREAM_TYPE,
 )
 from carawayhub.endpoints.upstream import (
-    ONE_REQUEST,
+    CONNECTION_CLOSE,
     Upstream,
     UpstreamRequest,
     UpstreamResponse,
@@ -148,7 +148,7 @@
                 failure = _worse(failure, exc)
                 tried |= {endpoint}
                 attempts += 1
-                if not self._ends.endings.may_go_on(fingerprint, attempts):
+                if not self._ends.endings.may_resend(fingerprint, attempts):
                     raise failure from exc
                 await self._before_retry(call, answer, exc, failure, attempts)
                 logger.bind(request=call.request_id, endpoint=endpoint, code=int(exc.code)).info(
@@ -321,7 +321,7 @@
         headers.append((DEADLINE_HEADER, b"%d" % (left * 1000)))
         headers.append((PRIORITY_HEADER, b"%d" % call.organisation.priority))
         if isinstance(call.target, ServiceTarget):
-            headers.append(ONE_REQUEST)
+            headers.append(CONNECTION_CLOSE)
         if offset:
             headers.append((RESUME_HEADER, b"%d" % offset))
         return UpstreamRequest(
--- a/carawayhub/gateway/relay.py
+++ b/carawayhub/gateway/relay.py
@@ -14,7 +14,7 @@
 from carawayhub.codes import Code, Outcome
 from carawayhub.endpoints.endings import BrokenAnswer, Endings
 from carawayhub.endpoints.upstream import (
-    ONE_REQUEST,
+    CONNECTION_CLOSE,
     Upstream,
     UpstreamRequest,
     UpstreamResponse,
@@ -166,7 +166,7 @@
 
     def _may_go_on(self, course: _Course) -> bool:
         """Return whether a request may be sent again, for all that endpoints ended under it."""
-        return self._parts.endings.may_go_on(course.call.fingerprint, course.sends)
+        return self._parts.endings.may_resend(course.call.fingerprint, course.sends)
 
     async def _later_place(self, course: _Course, pool: ServicePool) -> Place | None:
         """Return a place for a request that endpoints refused, after a wait for them.
@@ -375,7 +375,7 @@
         if call.route.repeat is Repeat.ONCE:
             # On a kept connection the endpoint may be closing it just now, and whether it ran the
             # request would be unknown: it could neither be repeated nor refused.
-            headers.append(ONE_REQUEST)
+            headers.append(CONNECTION_CLOSE)
         return UpstreamRequest(
             endpoint=endpoint.id,
             url=f"http://{endpoint.address}/",
--- a/tests/entry_fakes.py
+++ b/tests/entry_fakes.py
@@ -165,7 +165,7 @@
     def __init__(self) -> None:
         self.listening = Listening.YES
 
-    async def look(self, address: Address) -> Listening:
+    async def probe(self, address: Address) -> Listening:
         return self.listening
 
 
--- a/tests/relay_fakes.py
+++ b/tests/relay_fakes.py
@@ -20,7 +20,7 @@
     ServiceRoute,
 )
 from carawayhub.endpoints.endings import Endings
-from carawayhub.endpoints.upstream import LOOK_TIMEOUT, Upstream
+from carawayhub.endpoints.upstream import PROBE_TIMEOUT, Upstream
 from carawayhub.entry.answer import Answer
 from carawayhub.entry.calls import Call, ModelTarget, ServiceTarget
 from carawayhub.entry.ends import EndWatch
@@ -131,7 +131,7 @@
         socket_options: Any = None,
     ) -> FakeStream:
         await anyio.lowlevel.checkpoint()
-        if timeout == LOOK_TIMEOUT:
+        if timeout == PROBE_TIMEOUT:
             return self._look(port)
         self.connects.append(port)
         script = self._scripts[port].popleft()
--- a/tests/test_upstream_silence.py
+++ b/tests/test_upstream_silence.py
@@ -1,4 +1,4 @@
-"""Kept connections to an endpoint that go silent for good while new ones work."""
+"""Kept connections to an endpoint that stop answering while new ones work."""
 
 import unittest
 
@@ -17,14 +17,14 @@
 
 ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 SILENCE = 0.5
-"""Seconds for which the request waits whose connection is silent."""
+"""Read timeout of a request on a silent connection."""
 
 LIMIT_S = 10.0
 KEPT = 3
 
 
 class Endpoint:
-    """Answers each request, but none on connections that something on the way has lost track of."""
+    """Answers each request, except on connections whose state a middlebox has lost."""
 
     def __init__(self) -> None:
         self.lost: set[SocketStream] = set()
@@ -88,7 +88,7 @@
             self.endpoint.hold.set()
 
     async def test_one_silent_connection_costs_one_request(self) -> None:
-        """Guards against requests that take one silent connection after the other."""
+        """Guards against requests that use one silent connection after the other."""
         with anyio.fail_after(LIMIT_S):
             async with self.listener, anyio.create_task_group() as tasks:
                 tasks.start_soon(self.listener.serve, self.endpoint.serve)
@@ -115,7 +115,7 @@
                 tasks.cancel_scope.cancel()
 
     async def test_connection_that_lay_idle_through_a_suspension_is_not_used(self) -> None:
-        """Guards against a request on a connection that the way has forgotten meanwhile."""
+        """Guards against a request on a connection whose state a middlebox has dropped."""
         clock = ManualClock()
         self.upstream = Upstream(clock=clock)
         with anyio.fail_after(LIMIT_S):
--- a/tests/test_upstream_surplus.py
+++ b/tests/test_upstream_surplus.py
@@ -1,4 +1,4 @@
-"""An answer that comes twice must not become the answer of the next request."""
+"""An answer delivered twice must not be read as the answer to the next request."""
 
 import socket
 import unittest
@@ -19,15 +19,14 @@
 
 
 class SurplusTest(unittest.IsolatedAsyncioTestCase):
-    """An endpoint behind something that delivers an answer twice."""
+    """An endpoint behind a proxy that delivers an answer twice."""
 
     async def test_answer_that_came_twice_is_not_given_to_the_next_request(self) -> None:
-        """The wrong booking was confirmed to a visitor.
+        """Guards against confirming the wrong booking.
 
-        A plain service answers a booking, and what lies between delivers the answer twice in one
-        piece. The first request takes its answer from the connection and keeps it for the next
-        one. The second copy lies in the parser's buffer, and would be read as the answer to the
-        next booking.
+        The answer of a plain service is delivered twice in one piece. The first request reads one
+        copy and keeps the connection. The second copy stays in the parser's buffer and would be
+        read as the answer to the next booking.
         """
         numbers = count(1)
 
@@ -56,11 +55,11 @@
     """A request whose caller leaves before its endpoint has read it."""
 
     async def test_endpoint_that_wakes_learns_that_its_caller_is_gone(self) -> None:
-        """A replica worked for callers who had left a second before.
+        """Guards against a replica that works for callers who disconnected a second before.
 
-        Its VM was suspended and took the bytes of new requests in all the same. The callers gave
-        up and the entry closed their connections in order. When the replica woke it found whole
-        requests, and could not tell them from those of callers who had only ended their sending.
+        A suspended VM still receives the bytes of new requests. If the entry closes the connection
+        of a caller who gave up in order, the resumed replica finds a complete request and cannot
+        tell it from that of a caller who only closed the sending side.
         """
         listener = socket.socket()
         listener.bind(("127.0.0.1", 0))
@@ -80,15 +79,14 @@
 
 
 class HalfSentTest(unittest.IsolatedAsyncioTestCase):
-    """A request that may no longer go out when its head would, or its body."""
+    """A request whose permit expires before its head or its body is sent."""
 
     async def test_nothing_follows_a_pause_before_the_request_goes_out(self) -> None:
-        """A booking ran twice: at the endpoint of a VM that had been replaced, and before that.
+        """Guards against a booking that runs twice, once on a VM that has been replaced.
 
-        The agent had sent the head when its VM was suspended. The caller's booking ran at another
-        agent meanwhile. The woken one sent the body, which completed the request. Head and body
-        wait for one look now, and where it says no the endpoint gets nothing at all: so nothing
-        ran there.
+        An agent sends the head and its VM is suspended. The booking runs at another agent. If the
+        resumed agent sent the body, it would complete the request. One check decides on head and
+        body, and if it fails the endpoint receives nothing.
         """
         came: list[bytes] = []
         done = anyio.Event()
@@ -117,12 +115,11 @@
         self.assertEqual(came, [])
 
     async def test_permit_that_runs_out_while_a_request_goes_out_leaves_it_whole(self) -> None:
-        """Callers were told "unknown" by an entry that had lost its permits.
+        """Guards against an entry that answers "unknown" after its permits expire.
 
-        Each permit ran out between the head and the body of some request. The endpoint had the
-        head, nothing of the body followed, and nobody could say what it made of that. Now the
-        permit is looked at when nothing is written, and one write takes all, on a connection that
-        is used again too.
+        If a permit expired between head and body, the endpoint would have only the head and the
+        outcome would be unknown. The permit is checked before anything is written, and a single
+        write sends all, also on a reused connection.
         """
         network = CountingNetwork()
         upstream = Upstream(backend=network)
@@ -143,7 +140,7 @@
 
 
 class CountingNetwork(httpcore.AsyncNetworkBackend):
-    """Answers each request and keeps what was written, a part for each write."""
+    """Answers each request and records the data of each write."""
 
     def __init__(self) -> None:
         self.writes: list[bytes] = []
@@ -155,7 +152,7 @@
 
 
 class CountingStream(httpcore.AsyncNetworkStream):
-    """A connection of that network."""
+    """A connection of ``CountingNetwork``."""
 
     def __init__(self, writes: list[bytes]) -> None:
         self._writes = writes
