--- a/carawayhub/endpoints/checkedwrites.py
+++ b/carawayhub/endpoints/checkedwrites.py
@@ -60,9 +60,12 @@
             httpcore.ConnectError: The connection was refused, or the name is unknown.
             httpcore.ConnectTimeout: The connection was not established in time.
         """
-        with _errors_of_httpcore(httpcore.ConnectError), _within(timeout, httpcore.ConnectTimeout):
-            found = await anyio.getaddrinfo(host, port, type=socket.SOCK_STREAM)
-            family, kind, protocol, _, address = found[0]
+        with (
+            _map_errors(httpcore.ConnectError),
+            _raise_on_timeout(timeout, httpcore.ConnectTimeout),
+        ):
+            addresses = await anyio.getaddrinfo(host, port, type=socket.SOCK_STREAM)
+            family, kind, protocol, _, address = addresses[0]
             sock = socket.socket(family, kind, protocol)
             try:
                 await _connect(sock, address, local_address, socket_options or ())
@@ -90,7 +93,7 @@
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
         """Return the data received, empty at the end of the connection."""
-        with _errors_of_httpcore(httpcore.ReadError), _within(timeout, httpcore.ReadTimeout):
+        with _map_errors(httpcore.ReadError), _raise_on_timeout(timeout, httpcore.ReadTimeout):
             while True:
                 await anyio.wait_readable(self._sock)
                 try:
@@ -104,18 +107,18 @@
         Raises:
             WithheldError: The rest of the buffer may no longer be sent.
         """
-        left = memoryview(buffer)
+        remaining = memoryview(buffer)
         send, now = self._sock.send, self._clock.monotonic
-        with _errors_of_httpcore(httpcore.WriteError), _within(timeout, httpcore.WriteTimeout):
+        with _map_errors(httpcore.WriteError), _raise_on_timeout(timeout, httpcore.WriteTimeout):
             await anyio.lowlevel.checkpoint()
-            while left:
+            while remaining:
                 valid_until = now() + CHECK_VALID_SECONDS
                 if not self._may_send():
                     raise WithheldError
                 if now() > valid_until:
                     continue
                 try:
-                    left = left[send(left) :]
+                    remaining = remaining[send(remaining) :]
                 except BlockingIOError:
                     await anyio.wait_writable(self._sock)
 
@@ -159,16 +162,16 @@
 
 
 @contextmanager
-def _within(seconds: float | None, exceeded: type[Exception]) -> Iterator[None]:
+def _raise_on_timeout(seconds: float | None, timeout_error: type[Exception]) -> Iterator[None]:
     try:
         with anyio.fail_after(seconds):
             yield
     except TimeoutError as exc:
-        raise exceeded from exc
+        raise timeout_error from exc
 
 
 @contextmanager
-def _errors_of_httpcore(error: type[Exception]) -> Iterator[None]:
+def _map_errors(error: type[Exception]) -> Iterator[None]:
     try:
         yield
     except (OSError, anyio.ClosedResourceError, anyio.BusyResourceError) as exc:
--- a/carawayhub/endpoints/endings.py
+++ b/carawayhub/endpoints/endings.py
@@ -79,7 +79,7 @@
         if not self._records.is_poison(fingerprint):
             return
         self._records.came_again(fingerprint)
-        raise self._refusal(fingerprint)
+        raise self._rejection(fingerprint)
 
     def may_resend(self, fingerprint: bytes, sends: int) -> bool:
         """Return whether a request may be sent again within one attempt of its caller.
@@ -114,7 +114,7 @@
             if not scopes:
                 self._waiting.pop(fingerprint, None)
         if scope.cancelled_caught:
-            raise self._refusal(fingerprint)
+            raise self._rejection(fingerprint)
 
     def answered(self, fingerprint: bytes) -> None:
         """Record a complete answer."""
@@ -145,15 +145,15 @@
 
     async def _probe(self, address: Address) -> Listening:
         for _ in range(PROBE_ATTEMPTS):
-            found = await self._upstream.probe(address)
-            if found is not Listening.UNKNOWN:
-                return found
+            listening = await self._upstream.probe(address)
+            if listening is not Listening.UNKNOWN:
+                return listening
         return Listening.UNKNOWN
 
     def _cancel_waiting(self, fingerprint: bytes) -> None:
         for scope in self._waiting.get(fingerprint, ()):
             scope.cancel()
 
-    def _refusal(self, fingerprint: bytes) -> RequestError:
+    def _rejection(self, fingerprint: bytes) -> RequestError:
         ends = self._records.ends(fingerprint)
         return RequestError(Code.POISON_REQUEST, f"{ends} endpoints ended under it")
--- a/carawayhub/endpoints/joinedwrites.py
+++ b/carawayhub/endpoints/joinedwrites.py
@@ -21,12 +21,12 @@
         network: Opens the connection.
     """
 
-    __slots__ = ("_held", "_holding", "_network")
+    __slots__ = ("_buffered", "_buffering", "_network")
 
     def __init__(self, network: httpcore.AsyncNetworkBackend) -> None:
         self._network = network
-        self._held = b""
-        self._holding = False
+        self._buffered = b""
+        self._buffering = False
 
     async def connect_tcp(
         self,
@@ -42,18 +42,18 @@
 
     def hold(self) -> None:
         """Start to buffer writes."""
-        self._holding = True
+        self._buffering = True
 
     def release(self) -> None:
         """Stop buffering; buffered data is sent with the next write."""
-        self._holding = False
+        self._buffering = False
 
-    def take(self, buffer: bytes) -> bytes:
+    def take_buffered(self, buffer: bytes) -> bytes:
         """Return the data to write now, with buffered data first."""
-        self._held += buffer
-        if self._holding:
+        self._buffered += buffer
+        if self._buffering:
             return b""
-        data, self._held = self._held, b""
+        data, self._buffered = self._buffered, b""
         return data
 
 
@@ -77,7 +77,7 @@
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
         """Write buffered data and ``buffer``, or buffer it as well."""
-        data = self._writes.take(buffer)
+        data = self._writes.take_buffered(buffer)
         if data:
             await self._stream.write(data, timeout)
 
--- a/carawayhub/endpoints/upstream.py
+++ b/carawayhub/endpoints/upstream.py
@@ -198,7 +198,7 @@
         except NotSent as exc:
             raise RequestError(Code.CONNECT_FAILED, req.endpoint, retry_after=1.0) from exc
         except httpcore.TimeoutException as exc:
-            await self._drop_unproven(req, began_at)
+            await self._close_unverified(req, began_at)
             raise RequestError(Code.ANSWER_STALLED, f"{req.endpoint} sent no data in time") from exc
         except Broken as exc:
             if not guard.sent:
@@ -256,7 +256,7 @@
         idle_too_long = self._clock.monotonic() >= conn.kept_at + KEEPALIVE_SECONDS
         return idle_too_long or conn.has_expired()
 
-    async def _drop_unproven(self, req: UpstreamRequest, since: float) -> None:
+    async def _close_unverified(self, req: UpstreamRequest, since: float) -> None:
         """Close the idle connections to an endpoint that have answered nothing since then.
 
         Where a middlebox lost the state of one connection it may have lost the others, and each
--- a/tests/test_upstream_surplus.py
+++ b/tests/test_upstream_surplus.py
@@ -71,10 +71,10 @@
         self.assertTrue(caller.cancelled_caught)
         await anyio.sleep(0.1)
         with listener:
-            taken, _ = listener.accept()
-        taken.settimeout(LIMIT_S)
-        with taken, self.assertRaises(ConnectionResetError):
-            while taken.recv(1000):
+            accepted, _ = listener.accept()
+        accepted.settimeout(LIMIT_S)
+        with accepted, self.assertRaises(ConnectionResetError):
+            while accepted.recv(1000):
                 pass
 
 
@@ -88,14 +88,14 @@
         resumed agent sent the body, it would complete the request. One check decides on head and
         body, and if it fails the endpoint receives nothing.
         """
-        came: list[bytes] = []
+        received: list[bytes] = []
         done = anyio.Event()
 
         async def serve(client: SocketStream) -> None:
             async with client:
                 try:
                     async for part in client:
-                        came.append(part)
+                        received.append(part)
                 except anyio.BrokenResourceError:
                     pass
             done.set()
@@ -112,7 +112,7 @@
                 await done.wait()
                 tasks.cancel_scope.cancel()
         self.assertEqual(caught.exception.outcome, Outcome.NOT_RUN)
-        self.assertEqual(came, [])
+        self.assertEqual(received, [])
 
     async def test_permit_that_runs_out_while_a_request_goes_out_leaves_it_whole(self) -> None:
         """Guards against an entry that answers "unknown" after its permits expire.
