--- a/carawayhub/endpoints/checkedwrites.py
+++ b/carawayhub/endpoints/checkedwrites.py
@@ -64,8 +64,8 @@
             _map_errors(httpcore.ConnectError),
             _raise_on_timeout(timeout, httpcore.ConnectTimeout),
         ):
-            addresses = await anyio.getaddrinfo(host, port, type=socket.SOCK_STREAM)
-            family, kind, protocol, _, address = addresses[0]
+            found = await anyio.getaddrinfo(host, port, type=socket.SOCK_STREAM)
+            family, kind, protocol, _, address = found[0]
             sock = socket.socket(family, kind, protocol)
             try:
                 await _connect(sock, address, local_address, socket_options or ())
@@ -107,18 +107,18 @@
         Raises:
             WithheldError: The rest of the buffer may no longer be sent.
         """
-        remaining = memoryview(buffer)
+        left = memoryview(buffer)
         send, now = self._sock.send, self._clock.monotonic
         with _map_errors(httpcore.WriteError), _raise_on_timeout(timeout, httpcore.WriteTimeout):
             await anyio.lowlevel.checkpoint()
-            while remaining:
+            while left:
                 valid_until = now() + CHECK_VALID_SECONDS
                 if not self._may_send():
                     raise WithheldError
                 if now() > valid_until:
                     continue
                 try:
-                    remaining = remaining[send(remaining) :]
+                    left = left[send(left) :]
                 except BlockingIOError:
                     await anyio.wait_writable(self._sock)
 
--- a/carawayhub/endpoints/endings.py
+++ b/carawayhub/endpoints/endings.py
@@ -145,9 +145,9 @@
 
     async def _probe(self, address: Address) -> Listening:
         for _ in range(PROBE_ATTEMPTS):
-            listening = await self._upstream.probe(address)
-            if listening is not Listening.UNKNOWN:
-                return listening
+            found = await self._upstream.probe(address)
+            if found is not Listening.UNKNOWN:
+                return found
         return Listening.UNKNOWN
 
     def _cancel_waiting(self, fingerprint: bytes) -> None:
--- a/tests/test_upstream_surplus.py
+++ b/tests/test_upstream_surplus.py
@@ -71,10 +71,10 @@
         self.assertTrue(caller.cancelled_caught)
         await anyio.sleep(0.1)
         with listener:
-            accepted, _ = listener.accept()
-        accepted.settimeout(LIMIT_S)
-        with accepted, self.assertRaises(ConnectionResetError):
-            while accepted.recv(1000):
+            taken, _ = listener.accept()
+        taken.settimeout(LIMIT_S)
+        with taken, self.assertRaises(ConnectionResetError):
+            while taken.recv(1000):
                 pass
 
 
