--- a/carawayhub/endpoints/upstream.py
+++ b/carawayhub/endpoints/upstream.py
@@ -199,7 +199,7 @@
             raise RequestError(Code.CONNECT_FAILED, req.endpoint, retry_after=1.0) from exc
         except httpcore.TimeoutException as exc:
             await self._close_unverified(req, began_at)
-            raise RequestError(Code.ANSWER_STALLED, f"{req.endpoint} sent no data in time") from exc
+            raise RequestError(Code.ANSWER_STALLED, f"{req.endpoint} timed out") from exc
         except Broken as exc:
             if not guard.sent:
                 raise RequestError(Code.CONNECT_FAILED, req.endpoint, retry_after=1.0) from exc
--- a/tests/test_upstream_surplus.py
+++ b/tests/test_upstream_surplus.py
@@ -19,7 +19,7 @@
 
 
 class SurplusTest(unittest.IsolatedAsyncioTestCase):
-    """An endpoint behind a proxy that delivers an answer twice."""
+    """An endpoint behind an intermediary that delivers an answer twice."""
 
     async def test_answer_that_came_twice_is_not_given_to_the_next_request(self) -> None:
         """Guards against confirming the wrong booking.
