--- a/carawayhub/gateway/relay.py
+++ b/carawayhub/gateway/relay.py
@@ -15,7 +15,7 @@
 from carawayhub.codes import Code, Outcome
 from carawayhub.endpoints.endings import BrokenAnswer, Endings
 from carawayhub.endpoints.upstream import (
-    ONE_REQUEST,
+    CONNECTION_CLOSE,
     Upstream,
     UpstreamRequest,
     UpstreamResponse,
@@ -168,7 +168,7 @@
 
     def _may_resend(self, progress: _Progress) -> bool:
         """Return whether a request may be sent again, given the endpoints that ended running it."""
-        return self._parts.endings.may_go_on(progress.call.fingerprint, progress.sends)
+        return self._parts.endings.may_resend(progress.call.fingerprint, progress.sends)
 
     async def _wait_for_slot(self, progress: _Progress, pool: ServicePool) -> Slot | None:
         """Wait for a slot for a request that endpoints refused, and return it.
@@ -381,7 +381,7 @@
         if call.route.repeat is Repeat.ONCE:
             # The endpoint may be closing a reused connection at this moment. It would then be
             # unknown whether the request ran, so it could be neither repeated nor refused.
-            headers.append(ONE_REQUEST)
+            headers.append(CONNECTION_CLOSE)
         return UpstreamRequest(
             endpoint=endpoint.id,
             url=f"http://{endpoint.address}/",
