--- a/carawayhub/agent/gate.py
+++ b/carawayhub/agent/gate.py
@@ -328,7 +328,9 @@
     except msgspec.DecodeError as exc:
         raise RequestError(Code.ENDPOINT_ERROR, "the model's answer is not valid JSON") from exc
     if req.request_id not in found:
-        raise RequestError(Code.ANSWER_MIXED, "the id in the answer belongs to another request")
+        raise RequestError(
+            Code.ANSWER_MIXED, "the request id in the answer's body belongs to another request"
+        )
 
 
 def _answer_reply(req: RunRequest, answer: Answer, replayed: bool) -> RunReply:
--- a/carawayhub/entry/relay.py
+++ b/carawayhub/entry/relay.py
@@ -408,12 +408,17 @@
     """
     for name, value in response.headers:
         if name.lower() == REQUEST_ID_HEADER and value.decode("latin-1") != call.request_id:
-            raise RequestError(Code.ANSWER_MIXED, "request id header of the answer does not match")
+            raise RequestError(
+                Code.ANSWER_MIXED,
+                "the request id in the answer's header belongs to another request",
+            )
     if response.status != OK_STATUS or not isinstance(call.target, ModelTarget):
         return
     try:
         found = msgspec.json.decode(body, type=_AnswerId).id
     except (msgspec.DecodeError, RecursionError) as exc:
-        raise RequestError(Code.ENDPOINT_ERROR, "answer of the model is not valid JSON") from exc
+        raise RequestError(Code.ENDPOINT_ERROR, "the model's answer is not valid JSON") from exc
     if call.request_id not in found:
-        raise RequestError(Code.ANSWER_MIXED, "id in the answer's body does not match the request")
+        raise RequestError(
+            Code.ANSWER_MIXED, "the request id in the answer's body belongs to another request"
+        )
--- a/carawayhub/entry/runonce.py
+++ b/carawayhub/entry/runonce.py
@@ -254,7 +254,8 @@
                 continue
             if reply.request_id != call.request_id:
                 raise RequestError(
-                    Code.ANSWER_MIXED, "request id in the agent's reply does not match"
+                    Code.ANSWER_MIXED,
+                    "the request id in the agent's reply belongs to another request",
                 )
             return reply
         raise failure
