--- a/carawayhub/peers/questions.py
+++ b/carawayhub/peers/questions.py
@@ -237,7 +237,7 @@
         try:
             self._sock.sendto(data, (ip, self._port))
         except OSError as exc:
-            logger.bind(peer=ip, error=str(exc)).warning("datagram could not be sent")
+            logger.bind(peer=ip, error=str(exc)).warning("failed to send a datagram")
 
 
 _PLAIN, _COMPRESSED = b"p", b"z"
