--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -127,11 +127,11 @@
 
     run_time = _per_call(begin_and_finish, ENTRIES)
     replay_time = _per_call(lambda number: ledger.begin(keys[number], b"d" * 32, 1.0), ENTRIES)
-    office = TicketCodec("secret")
+    ticket_codec = TicketCodec("secret")
     epochs = Epochs(ManualClock(), "bench-0", 1)
-    issue = _per_call(lambda _: office.issue(SCOPE, "patra", "bench-0", 1, 1), 1000)
-    text = office.issue(SCOPE, "patra", "bench-0", 1, 1)
-    read = _per_call(lambda _: epochs.admit(office.read(text)), 1000)
+    issue = _per_call(lambda _: ticket_codec.issue(SCOPE, "patra", "bench-0", 1, 1), 1000)
+    text = ticket_codec.issue(SCOPE, "patra", "bench-0", 1, 1)
+    read = _per_call(lambda _: epochs.admit(ticket_codec.read(text)), 1000)
     return [
         Row("begin and finish", f"{ENTRIES} entries a round", run_time, "us"),
         Row("replay", f"{ENTRIES} entries a round", replay_time, "us"),
--- a/benchmarks/limit_cost.py
+++ b/benchmarks/limit_cost.py
@@ -186,7 +186,7 @@
     self: ServiceLimits,
     pick: Callable[[Set[str]], Selection | None],
     tried: Set[str],
-    wanted: float,
+    arrivals: float,
 ) -> Selection | None:
     return pick(tried)
 
--- a/carawayhub/agent/fence.py
+++ b/carawayhub/agent/fence.py
@@ -71,7 +71,7 @@
         "_closed",
         "_formers",
         "_gone",
-        "_grounds",
+        "_history",
         "_incarnation",
         "_lost_until",
         "_member",
@@ -107,14 +107,14 @@
         self._lost_until: float | None = None
         self._retention = 0.0
         self._sequence = 0
-        self._grounds = StageHistory(clock, member, scope, timing)
+        self._history = StageHistory(clock, member, scope, timing)
         self._version = 0
         self.closing = False
 
     @property
     def key_set(self) -> KeySet:
         """The current key set."""
-        return self._grounds.current.key_set
+        return self._history.current.key_set
 
     @property
     def retention(self) -> float:
@@ -134,7 +134,7 @@
             # Operators remove a member that was listed as leaving only after it has stopped.
             self._gone.setdefault(member, self._clock.monotonic())
         self._retention = max(self._retention, self._timing.retention(key_set.key_ttl))
-        self._grounds.enter(key_set)
+        self._history.enter(key_set)
         self._promises = Promises()
         self._closed.forget_closed()
         self._update_establishment()
@@ -145,7 +145,7 @@
         if home != self._member:
             where = "nowhere" if home is None else f"{home.endpoint} at {home.agent}"
             return Refuse(Code.RUN_HOME_UNREACHABLE, RETRY_AFTER_SECONDS, f"its home is {where}")
-        run_from = self._grounds.run_from(key)
+        run_from = self._history.run_from(key)
         if run_from is None:
             return self._refuse_unconfirmed()
         quarantine = run_from - self._clock.monotonic()
@@ -158,8 +158,8 @@
     def status(self) -> Established | Missing:
         """Return whether the agent is established at its key set."""
         self._update_establishment()
-        stage = self._grounds.current
-        if stage.run_from is None or not self._grounds.confirmed(stage.key_set):
+        stage = self._history.current
+        if stage.run_from is None or not self._history.confirmed(stage.key_set):
             return Missing(self.missing())
         return Established(max(0.0, stage.run_from - self._clock.monotonic()))
 
@@ -234,7 +234,7 @@
     def quarantine(self) -> float:
         """Return the seconds for which a key without an entry here may already have run."""
         own = self._own_quarantine_until()
-        latest = self._grounds.latest()
+        latest = self._history.latest()
         until = own if latest is None else max(own, latest)
         return max(0.0, until - self._clock.monotonic())
 
@@ -289,7 +289,7 @@
 
     def _record_promise(self, ack: FenceAck, sent: float) -> None:
         if ack.remembers:
-            self._grounds.confirm(ack.sender, sent)
+            self._history.confirm(ack.sender, sent)
         self._promises.receive(ack, sent, self._clock.monotonic())
         self._formers.fence(ack.sender, sent)
 
@@ -302,7 +302,7 @@
     def _update_establishment(self) -> None:
         """Recompute whether the current stage is established."""
         self._drop_expired()
-        stage = self._grounds.current
+        stage = self._history.current
         if self.key_set.seat(self._member) is None or self.missing():
             stage.run_from = None
             return
@@ -341,7 +341,7 @@
     def _drop_expired(self) -> None:
         now = self._clock.monotonic()
         self._formers.drop_fenced_before(now - self._retention)
-        run_from = self._grounds.current.run_from
+        run_from = self._history.current.run_from
         if run_from is None or run_from > now:
             return
         for member in self._formers.members:
--- a/carawayhub/entry/process.py
+++ b/carawayhub/entry/process.py
@@ -74,14 +74,14 @@
         self._upstream = Upstream(Address.parse(settings.peer_listen).host, clock=clock)
         metrics = runtime.metrics
         records = PoisonRecords(clock)
-        self._poison_news = PoisonUpdates(records)
+        self._poison_updates = PoisonUpdates(records)
         self._runs: dict[str, str] = {}
         endings = Endings(self._upstream, records, clock, metrics.endpoint_ended)
         ends = EndWatch(endings, self._router.is_leaving, clock, rng)
         self._relay = Relay(clock, rng, self._router, self._retries, self._upstream, metrics, ends)
-        office = TicketCodec(settings.system_key)
+        ticket_codec = TicketCodec(settings.system_key)
         calls = runtime.member.calls
-        self._run_once = RunOnce(clock, rng, self._reports, office, calls, ends)
+        self._run_once = RunOnce(clock, rng, self._reports, ticket_codec, calls, ends)
         self._app = EntryApp(
             EntryParts(
                 clock,
@@ -149,7 +149,7 @@
         while True:
             await anyio.sleep(self.runtime.member.heartbeat_interval())
             self._demand = self._admission.tick()
-            self._poison_news.records.expire()
+            self._poison_updates.records.expire()
             self._audit_endpoints()
 
     def _audit_endpoints(self) -> None:
@@ -217,7 +217,7 @@
 
         if peer.role is ProcessRole.ENTRY and reply.sequence:
             run = self._runs[peer.name] = str(reply.incarnation)
-            self._poison_news.acknowledge(peer.name, run, reply.sequence)
+            self._poison_updates.acknowledge(peer.name, run, reply.sequence)
 
     def peer_lost(self, peer: Peer) -> None:
         """Discard the state of a peer that cannot be reached."""
@@ -235,7 +235,7 @@
         """Process a heartbeat of another entry."""
         if peer.role is ProcessRole.ENTRY:
             self._admission.update_demand(peer.name, peer.incarnation, heartbeat.demand)
-            self._poison_news.records.merge(heartbeat.ends)
+            self._poison_updates.records.merge(heartbeat.ends)
 
     def report(self, peer: Hello) -> EndpointReport | None:
         """Return None, since an entry has no endpoint."""
@@ -252,7 +252,7 @@
         run = self._runs.get(peer.name)
         if peer.role is not ProcessRole.ENTRY or run is None:
             return ()
-        return tuple(self._poison_news.rows_for(peer.name, run, sequence))
+        return tuple(self._poison_updates.rows_for(peer.name, run, sequence))
 
     def _waits_for(self) -> str:
         """Return why the entry is not ready, empty if it is.
--- a/carawayhub/entry/runonce.py
+++ b/carawayhub/entry/runonce.py
@@ -85,7 +85,7 @@
         clock: Source of time.
         rng: Source of randomness for the choice of endpoints and for jitter.
         reports: Latest reports of the agents.
-        office: Issues and reads tickets.
+        ticket_codec: Issues and reads tickets.
         client: Calls agents.
         ends: Detects endpoints that ended while they ran a call.
     """
@@ -96,7 +96,7 @@
         "_clock",
         "_ends",
         "_key_sets",
-        "_office",
+        "_ticket_codec",
         "_reports",
         "_rng",
         "_sets",
@@ -107,7 +107,7 @@
         clock: Clock,
         rng: random.Random,
         reports: Reports,
-        office: TicketCodec,
+        ticket_codec: TicketCodec,
         client: CallClient,
         ends: EndWatch,
     ) -> None:
@@ -115,7 +115,7 @@
         self._clock = clock
         self._rng = rng
         self._reports = reports
-        self._office = office
+        self._ticket_codec = ticket_codec
         self._client = client
         self._cfg: Configuration | None = None
         self._key_sets = KeySets()
@@ -149,7 +149,7 @@
         else:
             scope, name = model_scope(requested.model), requested.model
         report = self._least_loaded(self._serving_reports(scope, name, organisation))
-        ticket = self._office.issue(
+        ticket = self._ticket_codec.issue(
             scope, organisation.name, report.endpoint, report.incarnation, report.ticket_epoch
         )
         return json_reply(TicketReply(ticket))
@@ -207,7 +207,7 @@
         return min(pair, key=lambda report: (report.running + report.queued) / report.capacity)
 
     def _by_ticket(self, call: Call) -> _Destination:
-        ticket = self._office.read_for(call.ticket, _scope(call), call.organisation.name)
+        ticket = self._ticket_codec.read_for(call.ticket, _scope(call), call.organisation.name)
         return self._destination(ticket.endpoint)
 
     def _by_key(self, call: Call) -> _Destination:
--- a/carawayhub/gateway/app.py
+++ b/carawayhub/gateway/app.py
@@ -24,7 +24,7 @@
     Args:
         clock: Source of time.
         wire: Wire format of requests.
-        desk: Admits requests.
+        admission: Admits requests.
         relay: Forwards requests to endpoints.
         limits: Returns the limits on what callers may send.
         tally: Records metrics.
@@ -36,7 +36,7 @@
 
     __slots__ = (
         "_clock",
-        "_desk",
+        "_admission",
         "_limits",
         "_relay",
         "_tally",
@@ -49,14 +49,14 @@
         self,
         clock: Clock,
         wire: CallerWire,
-        desk: AdmissionControl,
+        admission: AdmissionControl,
         relay: GatewayRelay,
         limits: Callable[[], CallerLimits],
         tally: Tally,
     ) -> None:
         self._clock = clock
         self._wire = wire
-        self._desk = desk
+        self._admission = admission
         self._relay = relay
         self._limits = limits
         self._tally = tally
@@ -80,7 +80,7 @@
         try:
             req = self._wire.request(scope)
             req.body = await self._read_body(receive)
-            call = self._desk.admit(req, arrived_at)
+            call = self._admission.admit(req, arrived_at)
             if not await self._relay_request(call, answer, receive):
                 code = Code.CALLER_LEFT
         except RequestError as exc:
--- a/carawayhub/gateway/gossip.py
+++ b/carawayhub/gateway/gossip.py
@@ -95,7 +95,7 @@
         "_new_peers",
         "_loads",
         "_peers",
-        "_poison_news",
+        "_poison_updates",
         "_rates",
         "_rng",
         "_seeds",
@@ -125,10 +125,10 @@
         self._clock = clock
         self._rng = rng
         self._peers = Peers(address.ip, address.failure_domain)
-        self._poison_news = PoisonUpdates(records)
+        self._poison_updates = PoisonUpdates(records)
         self._rates = rates
         self._builder = DatagramBuilder(
-            self.own, self._peers, loads, self._poison_news, rates, clock
+            self.own, self._peers, loads, self._poison_updates, rates, clock
         )
         self._reported_at: dict[str, float] = {}
         self._urgent = False
@@ -256,7 +256,7 @@
             self._apply_works(received)
             self.on_loads()
         self._apply_news(received)
-        self._poison_news.records.merge(received.ends)
+        self._poison_updates.records.merge(received.ends)
 
     def _apply_hello(self, hello: Hello, phase: Phase) -> None:
         timeout = PEER_TIMEOUT_INTERVALS * max(GOSSIP_INTERVAL_SECONDS, hello.interval)
@@ -327,7 +327,7 @@
         """
         if received.answers_run != self.own.incarnation:
             return
-        self._poison_news.acknowledge(
+        self._poison_updates.acknowledge(
             received.hello.ip, received.hello.incarnation, received.answers
         )
         sent_at = self._answered_at(received)
@@ -407,7 +407,7 @@
             self._seeds |= {ip}
             self._forget_reporter(ip)
         self._peers.drop(gone, "silent", now)
-        self._poison_news.retain(frozenset(self._peers.ips()))
+        self._poison_updates.retain(frozenset(self._peers.ips()))
         if self._builder.part is not Part.EQUAL:
             late = [each for each, at in self._reported_at.items() if now - at > DIGEST_TTL_SECONDS]
             for reporter in late:
--- a/carawayhub/gateway/process.py
+++ b/carawayhub/gateway/process.py
@@ -208,8 +208,8 @@
                 rates=self._rates,
             )
         )
-        desk = AdmissionControl(self._view, clock, rng, options.bounds.revoke_after)
-        self._app = GatewayApp(clock, wire, desk, relay, self._limits, self._tally)
+        admission = AdmissionControl(self._view, clock, rng, options.bounds.revoke_after)
+        self._app = GatewayApp(clock, wire, admission, relay, self._limits, self._tally)
 
     def is_ready(self) -> bool:
         """Return whether this entry accepts callers."""
--- a/carawayhub/gateway/telling.py
+++ b/carawayhub/gateway/telling.py
@@ -146,7 +146,7 @@
         own: State that this entry announces.
         peers: The other known entries.
         loads: Work in flight.
-        poison_news: Requests during which endpoints crashed.
+        poison_updates: Requests during which endpoints crashed.
         rates: Rate limits reported by replicas, and requests sent to them.
         clock: Source of time.
 
@@ -161,7 +161,7 @@
         "_number",
         "_own",
         "_peers",
-        "_poison_news",
+        "_poison_updates",
         "_rates",
         "_rounds",
         "_sent",
@@ -173,7 +173,7 @@
         own: OwnState,
         peers: Peers,
         loads: Loads,
-        poison_news: PoisonUpdates,
+        poison_updates: PoisonUpdates,
         rates: ReplicaRates,
         clock: Clock,
     ) -> None:
@@ -181,7 +181,7 @@
         self._rates = rates
         self._peers = peers
         self._loads = loads
-        self._poison_news = poison_news
+        self._poison_updates = poison_updates
         self._clock = clock
         self._number = 0
         self._rounds = 0
@@ -319,7 +319,7 @@
         if peer is None:
             return msgspec.msgpack.encode(Datagram("", 0, hello.hello, digest))
         run = peer.incarnation
-        ends = self._poison_news.rows_for(ip, run, hello.number) if with_ends else []
+        ends = self._poison_updates.rows_for(ip, run, hello.number) if with_ends else []
         return msgspec.msgpack.encode(Datagram(run, peer.number, hello.hello, digest, ends))
 
     def _rows(self, works: WorkByKey) -> list[WorkRow]:
--- a/tests/entry_fakes.py
+++ b/tests/entry_fakes.py
@@ -178,14 +178,14 @@
         self.is_ready, self.is_confirmed, self.has_doubt = True, True, False
         rng = random.Random(5)
         self.reports = Reports()
-        office = TicketCodec("0123456789abcdef")
+        ticket_codec = TicketCodec("0123456789abcdef")
         self.records = PoisonRecords(self.clock)
         self.upstream = FakeUpstream()
         endings = Endings(
             self.upstream, self.records, self.clock, self.metrics.endpoint_ended  # type: ignore
         )
         ends = EndWatch(endings, lambda endpoint: False, self.clock, rng)
-        run_once = RunOnce(self.clock, rng, self.reports, office, self.agents, ends)  # type: ignore
+        run_once = RunOnce(self.clock, rng, self.reports, ticket_codec, self.agents, ends)  # type: ignore
         self.admission = Admission(self.clock, rng, "e1")
         self.parts = EntryParts(
             self.clock,
--- a/tests/test_relay_poison.py
+++ b/tests/test_relay_poison.py
@@ -114,7 +114,7 @@
     def entry(self) -> EntryProcess:
         """Return an entry with only the attributes that links use."""
         entry = object.__new__(EntryProcess)
-        entry._poison_news = PoisonUpdates(PoisonRecords(ManualClock(5.0)))
+        entry._poison_updates = PoisonUpdates(PoisonRecords(ManualClock(5.0)))
         entry._runs = {}
         entry._admission = SimpleNamespace(update_demand=lambda *args: None)
         return entry
@@ -129,7 +129,7 @@
             failure_domain="brest",
             address="10.0.0.1:70",
         )
-        first._poison_news.records.record_end(CONTENT, 7)
+        first._poison_updates.records.record_end(CONTENT, 7)
 
         def replies(sequence: int, incarnation: int) -> None:
             reply = HeartbeatReply(sequence=sequence, incarnation=incarnation, version=1, digest="")
@@ -141,7 +141,7 @@
         self.assertEqual(len(rows), 1)
         self.assertEqual(len(first.ends(peer, 3)), 1)
         second.heartbeat_received(hello, Heartbeat(sequence=3, version=1, digest="", ends=rows))
-        self.assertEqual(second._poison_news.records.ends(CONTENT), 1)
+        self.assertEqual(second._poison_updates.records.ends(CONTENT), 1)
         replies(3, incarnation=5)
         self.assertEqual(first.ends(peer, 4), ())
         replies(1, incarnation=6)
