--- a/carawayhub/agent/grouptask.py
+++ b/carawayhub/agent/grouptask.py
@@ -76,7 +76,7 @@
         lease: Lease that permits this agent to order the ranks.
         reporter: Receives whether the group can step, so that entries stop routing to it if not.
         clock: Source of time.
-        rng: Source of the decider's number and of jitter.
+        rng: Source of the decider's random number and of retry jitter.
         audit: Records the decider's actions.
         tasks: Task group in which the decider runs.
     """
--- a/carawayhub/entry/process.py
+++ b/carawayhub/entry/process.py
@@ -188,7 +188,7 @@
         ]
 
     async def _linked_agents(self, cfg: Configuration, vms: VmList | None) -> tuple[str, ...]:
-        """Return the agents to link with; computed in a thread in a large fleet.
+        """Return the agents to open links to; computed in a thread in a large fleet.
 
         With thousands of endpoints this takes a tenth of a second, which would block the event loop
         and delay every token.
@@ -334,7 +334,7 @@
 
 
 def _entry_peers(cfg: Configuration, vms: VmList | None, own: str) -> set[str]:
-    """Return the entries to link with: all in a small fleet, gossip neighbours in a large one."""
+    """Return the entries to open links to: all in a small fleet, else the gossip neighbours."""
     if len(cfg.entries) <= MAX_FULL_MESH_ENTRIES:
         return set(cfg.entries) - {own}
     return set(gossip_neighbours(own, entry_nodes(cfg, vms, own)))
--- a/carawayhub/gateway/pool.py
+++ b/carawayhub/gateway/pool.py
@@ -297,7 +297,7 @@
         return RequestError(code, self._name, retry_after=self.queue.retry_after(left, away))
 
     def _group_recovery(self, left: float) -> float | None:
-        """Return the seconds until a stalled group is expected, or None if not within ``left``.
+        """Return the expected seconds until a stalled group recovers, None if not within ``left``.
 
         Until then the other groups get more requests than they can run. A caller that retries
         earlier is queued behind all new ones and finally refused; once the group is available, it
@@ -393,7 +393,7 @@
 
         While no group is available, a request waits as long as its caller does: it is then served
         sooner than after a retry. A returned request also waits that long for a group that is
-        expected in time, since its caller has no further attempt.
+        expected to recover in time, since its caller has no further attempt.
         """
         if away is not None:
             return longest
@@ -454,12 +454,12 @@
     Only ranks that report their group as not formed are counted: the registration of an ended rank
     remains for some seconds with its old content.
     """
-    seats = [
+    memberships = [
         each.membership
         for each in stalled
         if each.membership is not None and not each.membership.formed
     ]
-    ranks = Counter((seat.group, seat.size) for seat in seats)
+    ranks = Counter((membership.group, membership.size) for membership in memberships)
     return any(size and count >= size for (_, size), count in ranks.items())
 
 
--- a/carawayhub/gateway/process.py
+++ b/carawayhub/gateway/process.py
@@ -38,7 +38,7 @@
 from carawayhub.peers.pace import LinkPace
 
 DIRECTORY_TTL_FACTOR = 3.0
-"""Some callers keep an answer of the directory for this multiple of the stated time."""
+"""Some callers cache an answer of the directory for this multiple of the stated time."""
 
 STOP_MARGIN_SECONDS = 0.8
 """Seconds before the end of the grace period at which the process exits by itself."""
@@ -351,7 +351,7 @@
         self._view.confirm_revision(news.revision, proved_at)
 
     def _apply_peer_ends(self, keys: frozenset[int]) -> None:
-        """Stop sending to endpoints that a peer saw end, and to their groups.
+        """Stop sending to endpoints that a peer reported as ended, and to their groups.
 
         Otherwise the ranks of a stalled group would get requests for 1.5 s more, which would wait
         there and be refused.
--- a/carawayhub/gateway/relay.py
+++ b/carawayhub/gateway/relay.py
@@ -229,8 +229,8 @@
     def _record_silence(self, progress: _Progress, slot: Slot, sent_at: float) -> None:
         """Count a failure of an endpoint that sent nothing until the caller disconnected.
 
-        An endpoint that accepts requests and never answers looks least loaded and would be chosen
-        again. Its callers disconnect before any timeout of this entry expires.
+        An endpoint that accepts requests and never answers appears least loaded and would be
+        chosen again. Its callers disconnect before any timeout of this entry expires.
         """
         seconds = self._now() - sent_at
         if slot.read or progress.answer.started or seconds < MIN_SILENCE_SECONDS:
@@ -349,8 +349,8 @@
         events = progress.events
         events.restart()
         async for data in response.aiter_stream():
-            whole = events.feed(data)
-            if not whole:
+            complete = events.feed(data)
+            if not complete:
                 continue
             if not slot.read:
                 seconds = self._now() - sent_at
@@ -358,7 +358,7 @@
                 self._parts.health.answered(slot.endpoint.id, seconds, ok=True)
             if not progress.answer.started:
                 await progress.answer.start(head.status, head.headers)
-            await progress.answer.part(whole)
+            await progress.answer.part(complete)
         if events.unfinished:
             raise RequestError(Code.ANSWER_CUT, "the stream ended in the middle of an event")
         if not progress.answer.started:
--- a/carawayhub/groups/decider.py
+++ b/carawayhub/groups/decider.py
@@ -208,8 +208,9 @@
     async def _claim(self) -> dict[int, RankState]:
         """Read all ranks and have them promise to obey no decider with a lower term.
 
-        The first read asks for no promise but carries the number of this decider. Without it, the
-        reads of the decider in charge look the same as those of a decider that should send nothing.
+        A term is the fencing number of a decider. The first read asks for no promise but carries
+        the random number of this decider. Without it, the reads of the decider in charge look the
+        same as those of a decider that should send nothing.
         """
         states = await self._read(Term(0, self._term.decider))
         highest = max(state.promised.number for state in states.values())
