--- a/carawayhub/gateway/relay.py
+++ b/carawayhub/gateway/relay.py
@@ -349,8 +349,8 @@
         events = progress.events
         events.restart()
         async for data in response.aiter_stream():
-            complete = events.feed(data)
-            if not complete:
+            whole = events.feed(data)
+            if not whole:
                 continue
             if not slot.read:
                 seconds = self._now() - sent_at
@@ -358,7 +358,7 @@
                 self._parts.health.answered(slot.endpoint.id, seconds, ok=True)
             if not progress.answer.started:
                 await progress.answer.start(head.status, head.headers)
-            await progress.answer.part(complete)
+            await progress.answer.part(whole)
         if events.unfinished:
             raise RequestError(Code.ANSWER_CUT, "the stream ended in the middle of an event")
         if not progress.answer.started:
