--- a/carawayhub/gateway/relay.py
+++ b/carawayhub/gateway/relay.py
@@ -229,8 +229,8 @@
     def _record_silence(self, progress: _Progress, slot: Slot, sent_at: float) -> None:
         """Count a failure of an endpoint that sent nothing until the caller disconnected.
 
-        An endpoint that accepts requests and never answers looks least loaded and would be chosen
-        again. Its callers disconnect before any timeout of this entry expires.
+        An endpoint that accepts requests and never answers appears least loaded and would be
+        chosen again. Its callers disconnect before any timeout of this entry expires.
         """
         seconds = self._now() - sent_at
         if slot.read or progress.answer.started or seconds < MIN_SILENCE_SECONDS:
