--- a/benchmarks/link_parts.py
+++ b/benchmarks/link_parts.py
@@ -115,7 +115,7 @@
     def members_changed(self) -> None:
         """Take nothing."""
 
-    def replied(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
+    def reply_received(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
         """Take a report as an entry does."""
         self.replies += 1
         if reply.report is not None:
--- a/benchmarks/store_fleet.py
+++ b/benchmarks/store_fleet.py
@@ -12,7 +12,7 @@
 from carawayhub.addresses import Address
 from carawayhub.gateway.freshness import Bounds
 from carawayhub.gateway.process import GatewayProcess
-from carawayhub.peers.pace import LinkPace
+from carawayhub.peers.pace import LinkPacer
 from carawayhub.platform.headers import PlatformWire
 from carawayhub.platform.standins import StandinStore, configuration, registration
 from carawayhub.platform.store import StoreClient
@@ -256,7 +256,7 @@
         entry = self.live[ip] = Entry(process, _now())
         process._view.on_table = lambda _: self._note_table(entry)
         handing = process._handing
-        handing._link = self._net.link(ip, handing.answer, LinkPace(LoopClock(), LINK_RATE))
+        handing._link = self._net.link(ip, handing.answer, LinkPacer(LoopClock(), LINK_RATE))
 
         async def live() -> None:
             async with anyio.create_task_group() as entry.tasks:
--- a/carawayhub/agent/process.py
+++ b/carawayhub/agent/process.py
@@ -194,7 +194,7 @@
         self._reporter.listed(vms)
         self._keys.listed(vms)
 
-    def replied(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
+    def reply_received(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
         """Take nothing: an agent opens no links."""
 
     def lost(self, peer: Peer) -> None:
--- a/carawayhub/entry/process.py
+++ b/carawayhub/entry/process.py
@@ -209,7 +209,7 @@
         self._update_leaving()
         self._update_away()
 
-    def replied(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
+    def reply_received(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
         """Take what a peer reports."""
         if reply.report is not None:
             self._router.observe(reply.report, asked_at)
--- a/carawayhub/experts/agent.py
+++ b/carawayhub/experts/agent.py
@@ -28,7 +28,7 @@
 from carawayhub.experts.switch import Switch
 from carawayhub.experts.tally import GroupTally
 from carawayhub.gateway.model import ExpertShape
-from carawayhub.peers.pace import LinkPace
+from carawayhub.peers.pace import LinkPacer
 from carawayhub.peers.questions import Answer, Question, QuestionLink
 
 LOOK_SECONDS = 0.08
@@ -141,7 +141,7 @@
         self._roster = roster
         self._clock = clock
         self._link = QuestionLink(
-            options.ip, options.port, self._handle, LinkPace(clock, options.link_rate)
+            options.ip, options.port, self._handle, LinkPacer(clock, options.link_rate)
         )
         self._members = GroupMembers(options.ip, self._link, options.direct, roster, clock)
         self._meter = GrowthMeter()
--- a/carawayhub/gateway/handing.py
+++ b/carawayhub/gateway/handing.py
@@ -12,7 +12,7 @@
 from carawayhub.errors import PlatformError
 from carawayhub.gateway.gossip import Gossip
 from carawayhub.gateway.ports import Handed, Mirror
-from carawayhub.peers.pace import LinkPace
+from carawayhub.peers.pace import LinkPacer
 from carawayhub.peers.questions import Answer, Question, QuestionLink
 
 PUBLISHED = "published"
@@ -36,7 +36,7 @@
 
     __slots__ = ("_gossip", "_link", "_mirror")
 
-    def __init__(self, ip: str, port: int, mirror: Mirror, gossip: Gossip, pace: LinkPace) -> None:
+    def __init__(self, ip: str, port: int, mirror: Mirror, gossip: Gossip, pace: LinkPacer) -> None:
         self._mirror = mirror
         self._gossip = gossip
         self._link = QuestionLink(ip, port, self.answer, pace)
--- a/carawayhub/gateway/process.py
+++ b/carawayhub/gateway/process.py
@@ -35,7 +35,7 @@
 from carawayhub.http import ConnectionLimits, HttpServer, bind
 from carawayhub.limits.poison import PoisonRecords
 from carawayhub.limits.replicarate import ReplicaRates
-from carawayhub.peers.pace import LinkPace
+from carawayhub.peers.pace import LinkPacer
 
 KEPT_TIMES = 3.0
 """Times the stated seconds for which some callers keep an answer of the directory."""
@@ -171,7 +171,7 @@
             options.content_port,
             state.mirror,
             self._gossip,
-            LinkPace(clock, options.link_rate),
+            LinkPacer(clock, options.link_rate),
         )
         self._follower = Follower(
             state,
--- a/carawayhub/peers/__init__.py
+++ b/carawayhub/peers/__init__.py
@@ -1,1 +1,1 @@
-"""The messages and the authenticated links between the system's own processes."""
+"""Messages and authenticated links between the processes of a system."""
--- a/carawayhub/peers/calls.py
+++ b/carawayhub/peers/calls.py
@@ -1,4 +1,4 @@
-"""The calling end of unary calls, with one kept channel for each peer."""
+"""Client side of unary calls, with one reused channel for each peer."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 from carawayhub.addresses import Address
 from carawayhub.codes import Code
 from carawayhub.errors import PeerError
-from carawayhub.peers.cancellation import settle_cancellation
+from carawayhub.peers.cancellation import withdraw_cancellation
 from carawayhub.peers.channels import PeerChannel
 from carawayhub.peers.codec import MessagePackCodec
 from carawayhub.peers.methods import Method
@@ -23,10 +23,10 @@
     _http2_max_pings_without_data=0,
     _http2_min_sent_ping_interval_without_data=1.0,
 )
-"""A channel with calls in flight is pinged each second and closed 2 s after a ping with no answer.
+"""Pings a channel with calls in flight every second and closes it 2 s after an unanswered ping.
 
-Without it a call on a connection that went silent would wait for its own deadline, although a new
-connection would reach the peer at once.
+Without pings, a call on an unresponsive connection would wait until its own deadline, although a
+new connection would reach the peer at once.
 """
 
 
@@ -37,15 +37,15 @@
 
 
 class CallClient:
-    """Calls peers by address.
+    """Sends unary calls to peers by address.
 
     Args:
-        prover: Proves this process to its peers.
+        prover: Signs outgoing calls.
         source: IP number to connect from, empty for any.
 
-    Calls of one peer share a channel. After a failure the channel takes no new calls: what
-    failed may be the connection and not the peer. Calls still in flight on it end by themselves,
-    since HTTP/2 keeps their streams apart, and then it is closed.
+    Calls to one peer share a channel. After a failure the channel accepts no new calls, because
+    the connection may have failed rather than the peer. Calls still in flight on it complete
+    independently, since HTTP/2 isolates their streams, and then the channel is closed.
     """
 
     __slots__ = ("_channels", "_codec", "_prover", "_source")
@@ -60,13 +60,13 @@
         """Return the peer's reply.
 
         Args:
-            address: Where the peer takes calls.
-            method: Which call.
-            request: A ``method.request``.
-            timeout: Seconds until the call is given up.
+            address: Address at which the peer accepts calls.
+            method: Method to call.
+            request: Instance of ``method.request``.
+            timeout: Seconds until the call is abandoned.
 
         Raises:
-            NotSentError: No connection could be opened, so the peer has not seen the request.
+            NotSentError: No connection could be opened, so the peer has not received the request.
             PeerError: The call failed after it may have been sent.
         """
         shared = self._shared(address)
@@ -74,13 +74,13 @@
             await self._connect(address, shared)
             unary = UnaryUnaryMethod(shared.channel, method.path, method.request, method.reply)
             try:
-                with anyio.fail_after(timeout), settle_cancellation():
+                with anyio.fail_after(timeout), withdraw_cancellation():
                     return await unary(request, metadata=self._prover.sign(method.path))
             except GRPCError as exc:
                 raise PeerError(Code.PEER_PROTOCOL, str(exc.message)) from exc
             except Exception as exc:
-                # A library may fail in ways that it does not document when a connection breaks
-                # under it, with AttributeError for one. To the caller it is a lost call.
+                # grpclib may raise undocumented exceptions such as AttributeError when the
+                # connection breaks. Report them to the caller as a lost call.
                 self._retire(address, shared)
                 raise PeerError(Code.PEER_SILENT, str(exc) or type(exc).__name__) from exc
 
@@ -112,7 +112,7 @@
 
 
 class _SharedChannel:
-    """A channel that is closed when it is retired and its last call has ended."""
+    """A channel that is closed once it is retired and its last call has ended."""
 
     __slots__ = ("_users", "channel", "retired")
 
--- a/carawayhub/peers/cancellation.py
+++ b/carawayhub/peers/cancellation.py
@@ -1,4 +1,4 @@
-"""Keeps ``grpclib``'s way of waking tasks from ending tasks that ``anyio`` looks after."""
+"""Keeps cancellations raised by ``grpclib`` from ending tasks managed by ``anyio``."""
 
 import asyncio
 from collections.abc import Iterator
@@ -8,15 +8,14 @@
 
 
 @contextmanager
-def settle_cancellation() -> Iterator[None]:
-    """Withdraw the cancellation by which ``grpclib`` woke this task.
+def withdraw_cancellation() -> Iterator[None]:
+    """Withdraw the cancellation with which ``grpclib`` interrupted this task.
 
-    When a connection breaks, ``grpclib`` cancels each task that waits on it and turns the
-    cancellation into ``StreamTerminatedError``, but does not withdraw it. The task then still
-    counts as being cancelled, and the next cancel scope of ``anyio`` that ends passes the
-    cancellation on in place of catching it. What it looks like: one peer dies, and all links of the
-    process end without a word. Withdrawing it here, where the error comes out, leaves the count as
-    it was before.
+    When a connection breaks, ``grpclib`` cancels each task that waits on it and converts the
+    cancellation into ``StreamTerminatedError``, but does not withdraw it. The task still counts as
+    being cancelled, and the next ``anyio`` cancel scope that exits propagates the cancellation
+    instead of catching it. As a result, one failed peer silently ends all links of the process.
+    Withdrawing the cancellation where the error is raised restores the previous count.
     """
     try:
         yield
--- a/carawayhub/peers/channels.py
+++ b/carawayhub/peers/channels.py
@@ -1,4 +1,4 @@
-"""Channels to peers that go out from the process's own IP number."""
+"""Channels to peers, bound to the IP address of this process."""
 
 from typing import Any
 
@@ -10,16 +10,16 @@
 
 
 class PeerChannel(Channel):
-    """A channel whose connection is bound to a local IP number.
+    """A channel whose connection is bound to a local IP address.
 
-    A VM may have several. Peers, firewalls and those who read their logs tell processes apart by
-    the number that the settings give, so connections go out from it too.
+    A VM may have several IP addresses. Peers, firewalls and readers of their logs identify a
+    process by the address in its settings, so outgoing connections use that address too.
 
     Args:
         address: The peer.
         source: IP number to connect from, empty for any.
         codec: Encodes messages.
-        config: Options of the library.
+        config: Options of ``grpclib``.
     """
 
     def __init__(
--- a/carawayhub/peers/codec.py
+++ b/carawayhub/peers/codec.py
@@ -1,7 +1,7 @@
-"""MessagePack as the encoding of calls between the system's processes.
+"""MessagePack codec for calls between the processes of a system.
 
-``grpclib`` takes any codec; ``msgspec`` encodes typed classes without generated code, which also
-keeps the protobuf runtime out of the 64 MB that a process may use.
+``grpclib`` accepts any codec. ``msgspec`` encodes typed classes without generated code, which also
+avoids loading the protobuf runtime into the 64 MB that a process may use.
 """
 
 from typing import Any
--- a/carawayhub/peers/links.py
+++ b/carawayhub/peers/links.py
@@ -1,7 +1,7 @@
-"""The opening end of a link: one task for each peer keeps one stream up.
+"""Client side of a link: one task for each peer keeps one stream open.
 
-A link is a bidirectional gRPC stream. This end sends a heartbeat at each interval and the peer
-answers each. The answer carries what the peer has to report, so one exchange serves liveness,
+A link is a bidirectional gRPC stream. The client sends a heartbeat at each interval and the peer
+replies to each. The reply includes the peer's report, so one exchange serves liveness checks,
 reports and the comparison of configuration versions.
 """
 
@@ -18,7 +18,7 @@
 from carawayhub.clock import Clock
 from carawayhub.codes import Code
 from carawayhub.errors import PeerError
-from carawayhub.peers.cancellation import settle_cancellation
+from carawayhub.peers.cancellation import withdraw_cancellation
 from carawayhub.peers.channels import PeerChannel
 from carawayhub.peers.codec import MessagePackCodec
 from carawayhub.peers.messages import Heartbeat, HeartbeatReply, Hello, ProcessRole
@@ -39,7 +39,7 @@
     Attributes:
         name: Its name; for an agent that of its endpoint.
         role: Its kind.
-        address: Where it takes links and calls.
+        address: Address at which it accepts links and calls.
     """
 
     name: str
@@ -63,7 +63,7 @@
 
 
 class LinkOwner(Protocol):
-    """What the process that opens links provides."""
+    """Callbacks of the process that opens links."""
 
     def hello(self) -> Hello:
         """Return the introduction of this process."""
@@ -72,33 +72,33 @@
         """Return the next heartbeat for ``peer``."""
 
     def intervals(self) -> "Intervals":
-        """Return the times in force now."""
+        """Return the intervals now in force."""
 
     def link_up(self, peer: Peer, hello: Hello) -> None:
-        """Note that ``peer`` answered on a new connection."""
+        """Handle the handshake reply of ``peer`` on a new connection."""
 
-    def replied(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
-        """Take a reply; ``asked_at`` is the clock reading at which its heartbeat was sent."""
+    def reply_received(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
+        """Handle a reply; ``asked_at`` is the timestamp at which its heartbeat was sent."""
 
     def link_lost(self, peer: Peer, reason: str) -> None:
-        """Note that a new connection to ``peer`` failed as well."""
+        """Handle a failed attempt to open a new connection to ``peer``."""
 
 
 @dataclass(frozen=True, slots=True)
 class Intervals:
-    """Times of a link in seconds: between heartbeats, and of silence until it is replaced."""
+    """Seconds between heartbeats, and without a reply until the connection is replaced."""
 
     heartbeat: float
     timeout: float
 
 
 class Link:
-    """Keeps a stream to one peer up until cancelled.
+    """Keeps a stream to one peer open until cancelled.
 
     Args:
         peer: The peer.
-        owner: Takes what the link brings.
-        prover: Proves this process to the peer.
+        owner: Receives the events of the link.
+        prover: Signs the stream request.
         clock: Source of time.
         rng: Source of jitter.
         source: IP number to connect from, empty for any.
@@ -125,19 +125,19 @@
         self._sent: dict[int, float] = {}
 
     async def run(self) -> None:
-        """Open connections to the peer one after the other.
+        """Open connections to the peer one after another.
 
-        A connection that went silent says nothing of the peer: it may be half-open, as when a
-        router between the two ends dropped its entry, while new connections work. So a session
-        that had been up is replaced at once, and the peer counts as lost only when the new
-        connection fails too.
+        An unresponsive connection does not mean that the peer failed: it may be half-open, for
+        example after a router dropped its connection-tracking entry, while new connections work.
+        An established session is therefore replaced at once, and the peer counts as lost only
+        when the new connection fails too.
         """
         failures = 0
         while True:
             reached, reason = await self._session()
             if reached:
                 failures = 0
-                logger.bind(peer=self.peer.name, reason=reason).info("link ended, opening another")
+                logger.bind(peer=self.peer.name, reason=reason).info("link closed; reconnecting")
                 await anyio.sleep(self._rng.uniform(0, FIRST_BACKOFF))
                 continue
             failures += 1
@@ -148,43 +148,43 @@
     async def _session(self) -> tuple[bool, str]:
         """Use one connection; return whether the peer answered on it and why it ended.
 
-        The stream is always left by an exception. Left in good order, ``grpclib`` would wait for
-        the peer's end of it, which a connection that went silent never brings.
+        The stream context always exits with an exception. On a normal exit ``grpclib`` would wait
+        for the peer to end the stream, which never happens on an unresponsive connection.
         """
         channel = PeerChannel(self.peer.address, self._source, self._codec)
         reached = False
         try:
             method = StreamStreamMethod(channel, LINK.path, LINK.request, LINK.reply)
             async with method.open(metadata=self._prover.sign(LINK.path)) as stream:
-                with anyio.fail_after(CONNECT_TIMEOUT), settle_cancellation():
-                    await self._introduce(stream)
+                with anyio.fail_after(CONNECT_TIMEOUT), withdraw_cancellation():
+                    await self._handshake(stream)
                 reached = True
                 await self._exchange(stream)
         except LinkFailure as exc:
             return reached, _reason(exc)
         except Exception as exc:
-            # A library may fail in ways that it does not document when a connection breaks under
-            # it. One link that fails so must not end the process and with it all other links.
+            # grpclib may raise undocumented exceptions when a connection breaks. Such a failure
+            # of one link must not end the process and all its other links.
             logger.bind(peer=self.peer.name, error=repr(exc)).warning("link failed unexpectedly")
             return reached, _reason(exc)
         finally:
             channel.close()
         return reached, "ended"
 
-    async def _introduce(self, stream: Stream[Any, Any]) -> None:
+    async def _handshake(self, stream: Stream[Any, Any]) -> None:
         await stream.send_message(self._owner.hello())
         answer = await stream.recv_message()
         if not isinstance(answer, Hello):
-            raise PeerError(Code.PEER_PROTOCOL, "the peer did not introduce itself")
+            raise PeerError(Code.PEER_PROTOCOL, "expected Hello as the first message from the peer")
         if answer.name != self.peer.name:
             raise PeerError(Code.PEER_ID_MISMATCH, f"{answer.name} answers for {self.peer.name}")
         self._owner.link_up(self.peer, answer)
 
     async def _exchange(self, stream: Stream[Any, Any]) -> None:
         self._sent.clear()
-        reason = "the connection broke"
+        reason = "connection lost"
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._beat, stream, tasks.cancel_scope)
+            tasks.start_soon(self._send_heartbeats, stream, tasks.cancel_scope)
             try:
                 await self._receive(stream)
             except LinkFailure as exc:
@@ -192,13 +192,13 @@
             tasks.cancel_scope.cancel()
         raise PeerError(Code.PEER_SILENT, reason)
 
-    async def _beat(self, stream: Stream[Any, Any], scope: anyio.CancelScope) -> None:
+    async def _send_heartbeats(self, stream: Stream[Any, Any], scope: anyio.CancelScope) -> None:
         sequence = 0
         while True:
             sequence += 1
             self._sent[sequence] = self._clock.monotonic()
             try:
-                with settle_cancellation():
+                with withdraw_cancellation():
                     await stream.send_message(self._owner.heartbeat(self.peer, sequence))
             except LinkFailure:
                 scope.cancel()
@@ -207,21 +207,23 @@
 
     async def _receive(self, stream: Stream[Any, Any]) -> None:
         while True:
-            with anyio.fail_after(self._owner.intervals().timeout), settle_cancellation():
+            with anyio.fail_after(self._owner.intervals().timeout), withdraw_cancellation():
                 reply = await stream.recv_message()
             match reply:
                 case HeartbeatReply(sequence=0):
-                    self._owner.replied(self.peer, reply, self._clock.monotonic())
+                    self._owner.reply_received(self.peer, reply, self._clock.monotonic())
                 case HeartbeatReply(sequence=sequence):
                     asked_at = self._sent.pop(sequence, None)
                     if asked_at is None:
-                        raise PeerError(Code.PEER_ID_MISMATCH, f"reply to heartbeat {sequence}")
-                    self._owner.replied(self.peer, reply, asked_at)
+                        raise PeerError(
+                            Code.PEER_ID_MISMATCH, f"reply to unknown heartbeat {sequence}"
+                        )
+                    self._owner.reply_received(self.peer, reply, asked_at)
                 case _:
-                    raise PeerError(Code.PEER_SILENT, "the peer ended the stream")
+                    raise PeerError(Code.PEER_SILENT, "peer closed the stream")
 
 
 def _reason(exc: BaseException) -> str:
     if isinstance(exc, TimeoutError):
-        return "silent past the timeout"
+        return "no reply within the timeout"
     return str(exc) or type(exc).__name__
--- a/carawayhub/peers/messages.py
+++ b/carawayhub/peers/messages.py
@@ -1,8 +1,9 @@
 """Messages between the system's own processes, encoded as MessagePack by ``msgspec``.
 
-Remaining times cross the wire, never clock readings: two machines' clocks are not compared. Names
-are those of the configuration. What is sent often goes as an array without the names of its fields,
-so all processes of a system run releases that agree on their order.
+Messages contain remaining times rather than timestamps, because the clocks of two machines are not
+compared; the exceptions are fields that are documented as timestamps of the agent's clock. Names
+are those of the configuration. Frequent messages are encoded as arrays without field names, so all
+processes of a system must run releases that agree on the order of fields.
 """
 
 from enum import Enum
@@ -14,7 +15,7 @@
 
 
 class ServingState(Enum):
-    """What an agent says of its endpoint."""
+    """State of an endpoint as its agent reports it."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -26,9 +27,9 @@
     """Prefix-cache events since an earlier report.
 
     Attributes:
-        first: Sequence number of the first event; a gap to the last one seen means that some were
-            lost and that nothing is known of what the cache held before.
-        added: Hashes of prefix blocks that came into the cache.
+        first: Sequence number of the first event; a gap after the last one received means that
+            events were lost and that the earlier content of the cache is unknown.
+        added: Hashes of prefix blocks that were added to the cache.
         removed: Hashes of prefix blocks that were evicted.
     """
 
@@ -38,7 +39,7 @@
 
 
 class EndpointReport(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What an agent reports of its endpoint to each entry that it has a link with.
+    """Report of an agent on its endpoint, sent to each entry that it has a link with.
 
     Attributes:
         endpoint: Name of the endpoint.
@@ -46,19 +47,19 @@
         state: Whether new work may be dispatched to the endpoint.
         permit: Seconds for which the entry may dispatch on this report, counted from the moment
             the entry sent the heartbeat that this report answers.
-        running: Requests that run at the engine, as it last said.
-        queued: Requests that wait at the engine, as it last said.
+        running: Requests that run at the engine, as it last reported.
+        queued: Requests that wait at the engine, as it last reported.
         capacity: Requests it can run at once.
-        load_age: Seconds since the engine said so.
+        load_age: Seconds since the engine reported its load.
         step_seconds: Recent mean time of one step, 0 where unknown.
-        tokens_rate: Tokens a second generated recently.
+        tokens_rate: Tokens per second generated recently.
         ticket_epoch: Number of the agent's ticket period now in force.
         map_number: Number of the expert map in force at its group, 0 for none.
         skew: Busiest rank's load over the mean, 1.0 for none.
         reason: Why it is not serving, empty where it is.
-        cache: Prefix-cache events since the report before.
-        reading: The agent's clock when it made the report, by which an entry can say a deadline in
-            terms of that clock.
+        cache: Prefix-cache events since the previous report.
+        reading: Timestamp of the report on the agent's clock, with which an entry can express a
+            deadline on that clock.
     """
 
     endpoint: str
@@ -93,8 +94,8 @@
         name: Name of the sending process.
         role: Its kind.
         incarnation: Random number drawn when it started.
-        failure_domain: Where it stands.
-        address: ``ip:port`` at which it takes calls.
+        failure_domain: Its failure domain.
+        address: ``ip:port`` at which it accepts calls.
     """
 
     name: str
@@ -111,11 +112,11 @@
         sequence: Number of this heartbeat on this link, from 1.
         version: Configuration version in force at the sender.
         digest: Its digest.
-        echo: ``pauses`` of the last reply that the sender had from this peer.
-        service_age: Seconds since the platform's service was last heard, as the sender knows.
+        echo: ``pauses`` of the last reply that the sender received from this peer.
+        service_age: Seconds since the platform's service last responded, as the sender knows.
         vms: Number of the newest VM list that the sender has, 0 for none.
         leaving: Whether the sender is stopping.
-        demand: What the sender's callers ask for, by organisation; only between entries.
+        demand: Demand of the sender's callers, by organisation; only between entries.
         ends: Requests under which endpoints ended, as far as the receiver lacks them; only between
             entries.
     """
@@ -132,15 +133,15 @@
 
 
 class HeartbeatReply(msgspec.Struct, tag=True, frozen=True, kw_only=True, array_like=True):
-    """Answers a heartbeat, or tells at once of a changed state with sequence 0.
+    """Answers a heartbeat, or reports a changed state at once with sequence 0.
 
     Attributes:
         sequence: Number of the heartbeat that it answers, 0 for none.
         incarnation: Random number drawn when the sender started.
-        pauses: Pauses that the sender has noticed of itself; the next heartbeat repeats it.
+        pauses: Number of its own pauses that the sender detected; the next heartbeat repeats it.
         version: Configuration version in force at the sender.
         digest: Its digest.
-        service_age: Seconds since the platform's service was last heard, as the sender knows.
+        service_age: Seconds since the platform's service last responded, as the sender knows.
         vms: Number of the newest VM list that the sender has, 0 for none.
         leaving: Whether the sender is stopping.
         report: State of the sender's endpoint; none from an entry.
@@ -162,11 +163,11 @@
 
     Attributes:
         organisation: Its name.
-        rate: Requests a second that its callers ask for.
+        rate: Requests per second that its callers ask for.
         running: Its requests in flight.
-        rate_claimed: Part of its rate that the entry holds, in requests a second.
+        rate_claimed: Share of its rate that the entry holds, in requests per second.
         slots: Requests in flight that its callers ask for.
-        slots_claimed: Part of its concurrency that the entry holds.
+        slots_claimed: Share of its concurrency that the entry holds.
     """
 
     organisation: str
@@ -182,18 +183,18 @@
 
     Attributes:
         request_id: Id of the caller's request, for logs.
-        organisation: Who sends it.
+        organisation: Organisation of the caller.
         target: Name of the service or model.
         key: The caller's idempotency key, empty where a ticket is used.
         ticket: The ticket, empty where a key is used.
         version: Configuration version under which the entry chose this agent.
-        stamp: The agent's ticket epoch as last heard when the whole request had been read.
+        stamp: Ticket epoch last received from the agent when the complete request had been read.
         method: HTTP method.
         path: Path with query.
         headers: Headers for the endpoint.
         body: Body of the request.
         remaining: Seconds until its deadline.
-        deadline: The same as a reading of the agent's clock, as far as the entry knows that clock.
+        deadline: The deadline as a timestamp of the agent's clock, as far as the entry knows it.
     """
 
     request_id: str
@@ -212,13 +213,13 @@
 
 
 class RunReply(msgspec.Struct, frozen=True, kw_only=True):
-    """What became of a request that may run at most once.
+    """Result of a request that may run at most once.
 
     Attributes:
         request_id: Id of the request that it answers.
-        code: Number of the result.
-        detail: What is particular to this case.
-        retry_after: Seconds after which asking again is sensible, 0 for never.
+        code: Numeric result code.
+        detail: Details of this case.
+        retry_after: Seconds after which the caller should retry, 0 for never.
         replayed: Whether the answer is that of an earlier run.
         status: HTTP status of the endpoint's answer, 0 where there is none.
         headers: Headers of the endpoint's answer.
@@ -252,10 +253,10 @@
 
 
 class LeaseReply(msgspec.Struct, frozen=True, kw_only=True):
-    """What a witness answers.
+    """Reply of a witness to a lease request.
 
     Attributes:
-        named_seconds: For how long its configuration has named the agent, negative where it does
+        named_seconds: Seconds for which its configuration has named the agent, negative if it does
             not.
     """
 
@@ -276,7 +277,7 @@
     """Whether a lock-step group can step, as far as the agent asked knows.
 
     Attributes:
-        out_of_step: Why it cannot, empty where it can or where the agent does not know.
+        out_of_step: Why it cannot, empty if it can or if the agent does not know.
     """
 
     out_of_step: str = ""
--- a/carawayhub/peers/methods.py
+++ b/carawayhub/peers/methods.py
@@ -1,4 +1,4 @@
-"""Names and types of the calls between the system's processes."""
+"""Paths and message types of the calls between the processes of a system."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Method:
-    """One call: its path, the type it takes and the type it gives."""
+    """Path, request type and reply type of one call."""
 
     path: str
     request: Any
--- a/carawayhub/peers/proofs.py
+++ b/carawayhub/peers/proofs.py
@@ -1,8 +1,8 @@
 """Proof that a call comes from a process that holds the system key.
 
 Each call carries its sender's name, a fresh random nonce and an HMAC-SHA256 over method, sender and
-nonce. The receiver remembers recent nonces, so a recorded call cannot be sent again within that
-memory. It guards against strangers and misdirected processes; it does not hide what is sent.
+nonce. The receiver stores recent nonces and rejects a replayed call while its nonce is stored. The
+proof guards against unauthorized and misdirected processes; it does not encrypt the content.
 """
 
 import hashlib
@@ -18,7 +18,7 @@
 SENDER = "carawayhub-sender"
 NONCE = "carawayhub-nonce"
 PROOF = "carawayhub-proof"
-NONCES_REMEMBERED = 20_000
+MAX_STORED_NONCES = 20_000
 
 
 class Prover:
@@ -26,7 +26,7 @@
 
     Args:
         system_key: The secret that all processes of one system share.
-        name: This process.
+        name: Name of this process.
     """
 
     __slots__ = ("_key", "_name", "_seen")
@@ -37,7 +37,7 @@
         self._seen: OrderedDict[str, None] = OrderedDict()
 
     def sign(self, method: str) -> dict[str, str]:
-        """Return the call metadata that proves this process to the one called."""
+        """Return call metadata that authenticates this process to the receiver."""
         nonce = secrets.token_hex(12)
         return {SENDER: self._name, NONCE: nonce, PROOF: self._mac(method, self._name, nonce)}
 
@@ -45,18 +45,21 @@
         """Return the sender's name.
 
         Raises:
-            PeerError: PEER_UNAUTHENTICATED where the proof is missing, wrong or was seen before.
+            PeerError: PEER_UNAUTHENTICATED if the proof is missing, invalid or was used before.
         """
         fields = metadata or {}
         sender = str(fields.get(SENDER, ""))
         nonce = str(fields.get(NONCE, ""))
         proof = str(fields.get(PROOF, ""))
         if not nonce or not hmac.compare_digest(proof, self._mac(method, sender, nonce)):
-            raise PeerError(Code.PEER_UNAUTHENTICATED, f"{method} from {sender or 'nobody'}")
+            raise PeerError(
+                Code.PEER_UNAUTHENTICATED,
+                f"{method} from {sender or 'nobody'}",
+            )
         if nonce in self._seen:
             raise PeerError(Code.PEER_UNAUTHENTICATED, f"{method} repeats a nonce of {sender}")
         self._seen[nonce] = None
-        if len(self._seen) > NONCES_REMEMBERED:
+        if len(self._seen) > MAX_STORED_NONCES:
             self._seen.popitem(last=False)
         return sender
 
--- a/carawayhub/peers/questions.py
+++ b/carawayhub/peers/questions.py
@@ -1,9 +1,9 @@
 """Questions and answers between processes, as datagrams.
 
-Agents ask each other for counters and give orders so. An order to a rank may be lost or take effect
-late in any case, so nothing is gained from a connection: a lost datagram is one more order without
-an answer. Entries ask each other for published content, and read it themselves where no answer
-comes.
+Agents use them to ask each other for counters and to issue orders. An order to a rank may be lost
+or take effect late in any case, so a connection has no advantage: a lost datagram is one more order
+without an answer. Entries ask each other for published content, and read it themselves if no answer
+arrives.
 """
 
 import secrets
@@ -16,39 +16,38 @@
 import msgspec
 from loguru import logger
 
-from carawayhub.peers.pace import LinkPace
+from carawayhub.peers.pace import LinkPacer
 
 ANSWER_SECONDS = 0.25
-"""Seconds for an answer: a call of the other process on its own VM, and the way both ways."""
+"""Timeout of an answer: a call by the other process on its own VM, plus the round trip."""
 
-COMPRESSED_FROM = 512
-"""Bytes of a datagram from which on it is compressed: counters shrink to a third, and the links of
-agents are slow enough for the counters of a whole group to fill them for 70 ms."""
+COMPRESSION_MIN_BYTES = 512
+"""Minimum size in bytes of a datagram that is compressed. Compression reduces counters to a third;
+the links of agents are so slow that the counters of a complete group occupy them for 70 ms."""
 
-SENT_TWICE = frozenset({"report", "alive", "arm"})
-"""Subjects of questions that change nothing at the other process, or the same however often they
-come. They are sent again where no answer came soon: of 63 answers that a change needs at once, one
-in forty lost would end nearly each change."""
+RESENDABLE_SUBJECTS = frozenset({"report", "alive", "arm"})
+"""Subjects of idempotent questions, which are sent again if no answer arrives soon. A change needs
+63 answers at once, so losing one in forty would abort nearly every change."""
 
 RESEND_SECONDS = 0.1
-"""Seconds without an answer after which such a question is sent again; most take a few ms."""
+"""Seconds without an answer before a question is sent again; most answers take a few ms."""
 
 MAX_DATAGRAM = 65_536
 
-MAX_RUNNING = 64
-"""Questions that a process works on at once; more are dropped, and asked again."""
+MAX_CONCURRENT_QUESTIONS = 64
+"""Questions that a process handles concurrently; further ones are dropped and asked again."""
 
 
 class Question(msgspec.Struct, array_like=True, kw_only=True):
     """One question.
 
     Attributes:
-        number: Names the question; the answer carries it.
-        asker: Names the run of the process that asks.
+        number: Identifies the question; the answer repeats it.
+        asker: Identifies the run of the process that asks.
         subject: What is asked; a name of ``experts.remote`` or ``gateway.handing``.
-        epoch: Formation in which an order holds.
+        epoch: Formation in which an order is valid.
         fence: Fencing token of an order.
-        content: What else the subject needs, in MessagePack.
+        content: Arguments of the subject, in MessagePack.
     """
 
     number: int
@@ -63,10 +62,10 @@
     """The answer to a question.
 
     Attributes:
-        number: That of the question.
+        number: Number of the question.
         asker: The run of the process that asked.
         ok: Whether the question could be answered.
-        content: The answer in MessagePack, or why there is none.
+        content: The answer in MessagePack, or the reason why there is none.
     """
 
     number: int
@@ -89,7 +88,7 @@
 
     Attributes:
         subject: What was asked.
-        settled: Set when the answer is there.
+        settled: Set when the answer has arrived.
         answer: The answer.
     """
 
@@ -99,13 +98,13 @@
 
 
 class QuestionLink:
-    """Asks other processes and answers them.
+    """Sends questions to other processes and answers theirs.
 
     Args:
-        ip: IP number of this VM.
-        port: Port of all processes of its kind.
-        handler: Answers a question that came from an IP number.
-        pace: Spreads questions, and so their answers, over time.
+        ip: IP address of this VM.
+        port: Port that all processes of this kind use.
+        handler: Answers a question; receives it with the IP address of its sender.
+        pace: Spreads questions and thereby their answers over time.
     """
 
     __slots__ = (
@@ -121,7 +120,7 @@
         "_waiting",
     )
 
-    def __init__(self, ip: str, port: int, handler: Handler, pace: LinkPace) -> None:
+    def __init__(self, ip: str, port: int, handler: Handler, pace: LinkPacer) -> None:
         self._ip = ip
         self._port = port
         self._handler = handler
@@ -151,10 +150,10 @@
     async def ask(
         self, ip: str, subject: str, content: bytes = b"", epoch: int = 0, fence: int = 0
     ) -> Answer | None:
-        """Ask the process at ``ip``; return None where no answer comes.
+        """Ask the process at ``ip``; return None if no answer arrives.
 
-        The time for the answer begins when the question goes out: it may wait for its turn behind
-        those to other agents.
+        The timeout starts when the question is sent, since it may first wait behind questions to
+        other agents.
         """
         self._number += 1
         number = self._number
@@ -177,9 +176,9 @@
         return waiting.answer
 
     async def _exchange(self, ip: str, data: bytes, waiting: _Waiting) -> None:
-        """Send a question and wait for its answer; send it a second time where that may be."""
+        """Send a question and wait for its answer; resend it once if its subject allows."""
         self._send(ip, data)
-        if waiting.subject in SENT_TWICE:
+        if waiting.subject in RESENDABLE_SUBJECTS:
             with anyio.move_on_after(RESEND_SECONDS):
                 await waiting.settled.wait()
                 return
@@ -192,26 +191,26 @@
         except BlockingIOError:
             return
         except OSError as exc:
-            logger.bind(error=str(exc)).warning("datagrams cannot be read")
+            logger.bind(error=str(exc)).warning("could not receive a datagram")
             return
-        self.take(data, ip, tasks)
+        self.receive_datagram(data, ip, tasks)
 
-    def take(self, data: bytes, ip: str, tasks: anyio.abc.TaskGroup) -> None:
-        """Take in a datagram of another process.
+    def receive_datagram(self, data: bytes, ip: str, tasks: anyio.abc.TaskGroup) -> None:
+        """Process a datagram from another process.
 
         Args:
             data: The datagram.
-            ip: Where it came from.
-            tasks: Where a question is answered.
+            ip: IP address of its sender.
+            tasks: Task group in which a question is answered.
         """
         try:
             datagram = _decoded(data)
         except (msgspec.DecodeError, zlib.error) as exc:
-            logger.bind(peer=ip, error=str(exc)).warning("datagram cannot be read")
+            logger.bind(peer=ip, error=str(exc)).warning("could not decode a datagram")
             return
         if datagram.answer is not None:
             self._settle(datagram.answer, len(data))
-        if datagram.question is not None and self._running < MAX_RUNNING:
+        if datagram.question is not None and self._running < MAX_CONCURRENT_QUESTIONS:
             tasks.start_soon(self._answer, datagram.question, ip)
 
     def _settle(self, answer: Answer, size: int) -> None:
@@ -237,7 +236,7 @@
         try:
             self._sock.sendto(data, (ip, self._port))
         except OSError as exc:
-            logger.bind(peer=ip, error=str(exc)).warning("datagram could not be sent")
+            logger.bind(peer=ip, error=str(exc)).warning("could not send a datagram")
 
 
 _PLAIN, _COMPRESSED = b"p", b"z"
@@ -245,7 +244,7 @@
 
 def _encoded(datagram: _Datagram) -> bytes:
     data = msgspec.msgpack.encode(datagram)
-    if len(data) < COMPRESSED_FROM:
+    if len(data) < COMPRESSION_MIN_BYTES:
         return _PLAIN + data
     return _COMPRESSED + zlib.compress(data, level=1)
 
@@ -253,11 +252,11 @@
 def _decoded(data: bytes) -> _Datagram:
     """Return the datagram in ``data``.
 
-    A sender of garbage could make a small datagram unpack to gigabytes, so no more is unpacked than
-    a datagram may hold.
+    A malformed small datagram could decompress to gigabytes, so the output is limited to the
+    maximum size of a datagram.
 
     Raises:
-        msgspec.DecodeError, zlib.error: It cannot be read.
+        msgspec.DecodeError, zlib.error: It cannot be decoded.
     """
     content = data[1:]
     if data[:1] == _COMPRESSED:
--- a/carawayhub/peers/server.py
+++ b/carawayhub/peers/server.py
@@ -1,4 +1,4 @@
-"""The accepting end of links and calls."""
+"""Server side of links and calls."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -23,7 +23,7 @@
 
 
 class LinkServer(Protocol):
-    """What the process that accepts links provides."""
+    """Callbacks of the process that accepts links."""
 
     changed: Signal
 
@@ -31,10 +31,10 @@
         """Return the introduction of this process."""
 
     def intervals(self) -> Intervals:
-        """Return the times in force now."""
+        """Return the intervals now in force."""
 
     def reply(self, peer: Hello, heartbeat: Heartbeat | None) -> HeartbeatReply:
-        """Answer a heartbeat, or with None tell of a changed state."""
+        """Return the reply to a heartbeat, or with None a report of a changed state."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 
     Attributes:
         method: Its path and types.
-        handle: Takes the sender's name and the request, gives the reply.
+        handle: Returns the reply to a request; receives the sender's name and the request.
     """
 
     method: Method
@@ -51,7 +51,7 @@
 
 
 class PeerServer:
-    """Accepts links and calls of processes that prove they hold the system key."""
+    """Accepts links and calls from processes that prove possession of the system key."""
 
     __slots__ = ("_calls", "_links", "_prover", "_server")
 
@@ -68,12 +68,12 @@
         await self._server.start(sock=sock)
 
     async def stop(self) -> None:
-        """Accept nothing more and end the links."""
+        """Stop accepting connections and close the links."""
         self._server.close()
         await self._server.wait_closed()
 
     def __mapping__(self) -> dict[str, Handler]:
-        """Return the calls by path, as ``grpclib`` asks for them."""
+        """Return the handlers by path, as ``grpclib`` requires."""
         mapping = {
             LINK.path: Handler(self._link, Cardinality.STREAM_STREAM, LINK.request, LINK.reply)
         }
@@ -101,14 +101,17 @@
         try:
             return self._prover.check(path, stream.metadata)
         except PeerError as exc:
-            logger.bind(code=int(exc.code)).warning("call refused: {}", exc)
+            logger.bind(code=int(exc.code)).warning("call rejected: {}", exc)
             raise GRPCError(Status.UNAUTHENTICATED, str(exc)) from exc
 
     async def _link(self, stream: Stream[Any, Any]) -> None:
         self._authenticate(LINK.path, stream)
         peer = await stream.recv_message()
         if not isinstance(peer, Hello):
-            raise GRPCError(Status.INVALID_ARGUMENT, f"code {int(Code.PEER_PROTOCOL)}: no hello")
+            raise GRPCError(
+                Status.INVALID_ARGUMENT,
+                f"code {int(Code.PEER_PROTOCOL)}: no hello",
+            )
         await stream.send_message(self._links.hello())
         lock = anyio.Lock()
         try:
@@ -117,7 +120,7 @@
                 await self._answer(stream, peer, lock)
                 tasks.cancel_scope.cancel()
         except (OSError, ProtocolError, StreamTerminatedError) as exc:
-            logger.bind(peer=peer.name).debug("link ended: {}", exc)
+            logger.bind(peer=peer.name).debug("link closed: {}", exc)
 
     async def _answer(self, stream: Stream[Any, Any], peer: Hello, lock: anyio.Lock) -> None:
         while True:
@@ -132,7 +135,7 @@
     async def _push(
         self, stream: Stream[Any, Any], peer: Hello, lock: anyio.Lock, scope: anyio.CancelScope
     ) -> None:
-        """Tell of a changed state at once; the lock keeps two messages from interleaving."""
+        """Report a changed state at once; the lock keeps two messages from interleaving."""
         while True:
             await self._links.changed.wait()
             try:
--- a/carawayhub/peers/signal.py
+++ b/carawayhub/peers/signal.py
@@ -1,10 +1,10 @@
-"""A signal that wakes every task which waits for a change."""
+"""A signal that resumes all tasks that wait for a change."""
 
 import anyio
 
 
 class Signal:
-    """Wakes all waiters at once; a waiter that comes later waits for the next change."""
+    """Resumes all waiting tasks at once; later waiters wait for the next change."""
 
     __slots__ = ("_event",)
 
@@ -12,7 +12,7 @@
         self._event = anyio.Event()
 
     def notify(self) -> None:
-        """Wake all tasks that wait now."""
+        """Resume all tasks that are waiting now."""
         event, self._event = self._event, anyio.Event()
         event.set()
 
--- a/carawayhub/process/exchange.py
+++ b/carawayhub/process/exchange.py
@@ -106,7 +106,7 @@
         self._book.note(peer.key, peer.address)
         self._knowledge.membership.heard(peer.key, hello.incarnation)
 
-    def replied(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
+    def reply_received(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
         """Take a reply."""
         knowledge = self._knowledge
         self._echoes[peer.key] = reply.pauses
@@ -119,7 +119,7 @@
             count = self._pauses_at_send.get(peer.key, -1)
             knowledge.confirm_membership(peer.key, count)
             knowledge.confirm_configuration(peer.key, reply.version, count)
-        self._role.replied(peer, reply, asked_at)
+        self._role.reply_received(peer, reply, asked_at)
 
     def link_lost(self, peer: Peer, reason: str) -> None:
         """Note that a new connection to ``peer`` failed as well."""
--- a/carawayhub/process/role.py
+++ b/carawayhub/process/role.py
@@ -38,7 +38,7 @@
     def listed(self, vms: VmList) -> None:
         """Take a VM list."""
 
-    def replied(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
+    def reply_received(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
         """Take what a peer reports on a link that this process opened."""
 
     def lost(self, peer: Peer) -> None:
--- a/tests/datagram_net.py
+++ b/tests/datagram_net.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from carawayhub.peers.pace import DATAGRAM_HEAD, LinkPace
+from carawayhub.peers.pace import DATAGRAM_OVERHEAD_BYTES, LinkPacer
 from carawayhub.peers.questions import Handler, QuestionLink
 
 DELAY = 0.002
@@ -55,14 +55,14 @@
         self.links: dict[str, NetLink] = {}
         self.tasks: anyio.abc.TaskGroup | None = None
 
-    def link(self, ip: str, handler: Handler, pace: LinkPace) -> "NetLink":
+    def link(self, ip: str, handler: Handler, pace: LinkPacer) -> "NetLink":
         """Return the link of the agent at ``ip``."""
         found = self.links[ip] = NetLink(self, ip, handler, pace)
         return found
 
     def carry(self, source: "NetLink", ip: str, data: bytes) -> None:
         """Take a datagram to another agent, unless it is lost on the way."""
-        size = len(data) + DATAGRAM_HEAD
+        size = len(data) + DATAGRAM_OVERHEAD_BYTES
         sent = source.up.delay(size)
         if sent is None or self.rng.random() < self.lost or ip not in self.links:
             self.dropped += 1
@@ -73,19 +73,19 @@
     async def _arrive(self, source: str, ip: str, data: bytes, delay: float) -> None:
         await anyio.sleep(delay)
         target = self.links[ip]
-        passed = target.down.delay(len(data) + DATAGRAM_HEAD)
+        passed = target.down.delay(len(data) + DATAGRAM_OVERHEAD_BYTES)
         if passed is None:
             self.dropped += 1
             return
         await anyio.sleep(passed)
         assert self.tasks is not None
-        target.take(data, source, self.tasks)
+        target.receive_datagram(data, source, self.tasks)
 
 
 class NetLink(QuestionLink):
     """The link of one agent; see ``QuestionLink``."""
 
-    def __init__(self, net: DatagramNet, ip: str, handler: Handler, pace: LinkPace) -> None:
+    def __init__(self, net: DatagramNet, ip: str, handler: Handler, pace: LinkPacer) -> None:
         super().__init__(ip, 0, handler, pace)
         self.ip = ip
         self.net = net
--- a/tests/test_experts_large.py
+++ b/tests/test_experts_large.py
@@ -13,7 +13,7 @@
 from carawayhub.experts.model import Placement, Prepare, first_placement
 from carawayhub.experts.remote import RankDesk, relay
 from carawayhub.experts.switch import Ended, Switch
-from carawayhub.peers.pace import LinkPace
+from carawayhub.peers.pace import LinkPacer
 from carawayhub.peers.questions import Answer, Question
 from tests.datagram_net import DatagramNet
 from tests.expert_group import FakeGroup, FakeRank
@@ -102,8 +102,8 @@
                     return await relay(question, direct)
                 return await desk.answer(question)
 
-            net.link(host(rank), answer, LinkPace(clock, rate))
-        link = net.link(host(0), alive, LinkPace(clock, rate))
+            net.link(host(rank), answer, LinkPacer(clock, rate))
+        link = net.link(host(0), alive, LinkPacer(clock, rate))
 
         members = GroupMembers(host(0), link, direct, None, clock)
         members.family = Family(
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -26,15 +26,15 @@
 LOCAL = Address("127.0.0.1", 0)
 
 
-class End:
-    """One end of a link that notes what happens on it."""
+class RecordingEnd:
+    """One end of a link that records its events."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.changed = Signal()
         self.replies = 0
         self.lost: list[str] = []
-        self.moved = Signal()
+        self.updated = Signal()
 
     def hello(self) -> Hello:
         return Hello(
@@ -58,37 +58,37 @@
     def link_up(self, peer: Peer, hello: Hello) -> None:
         return
 
-    def replied(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
+    def reply_received(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
         self.replies += 1
-        self.moved.notify()
+        self.updated.notify()
 
     def link_lost(self, peer: Peer, reason: str) -> None:
         self.lost.append(reason)
-        self.moved.notify()
+        self.updated.notify()
 
     async def until_replies(self, count: int) -> None:
         while self.replies < count:
-            await self.moved.wait()
+            await self.updated.wait()
 
     async def until_lost(self) -> None:
         while not self.lost:
-            await self.moved.wait()
+            await self.updated.wait()
 
 
-class TwoPeers(End):
-    """Owner of links to two peers, with notes on each of its own."""
+class TwoPeers(RecordingEnd):
+    """Owner of links to two peers that records the events of each."""
 
     def __init__(self) -> None:
         super().__init__("near")
-        self.dying, self.living = End("near"), End("near")
+        self.dying, self.living = RecordingEnd("near"), RecordingEnd("near")
 
-    def replied(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
-        self._notes(peer).replied(peer, reply, asked_at)
+    def reply_received(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
+        self._notes(peer).reply_received(peer, reply, asked_at)
 
     def link_lost(self, peer: Peer, reason: str) -> None:
         self._notes(peer).link_lost(peer, reason)
 
-    def _notes(self, peer: Peer) -> End:
+    def _notes(self, peer: Peer) -> RecordingEnd:
         return self.dying if peer.name == "dying" else self.living
 
 
@@ -100,12 +100,14 @@
 
 
 async def start(name: str, key: str, sock: socket.socket, calls: Any = ()) -> PeerServer:
-    server = PeerServer(End(name), Prover(key, name), calls)
+    server = PeerServer(RecordingEnd(name), Prover(key, name), calls)
     await server.start(sock)
     return server
 
 
-async def call_and_go_on(client: CallClient, address: Address, went_on: anyio.Event) -> None:
+async def call_then_check_cancellation(
+    client: CallClient, address: Address, resumed: anyio.Event
+) -> None:
     with anyio.CancelScope():
         try:
             await client.call(address, FILES, FilesRequest(digests=()), 10.0)
@@ -113,7 +115,7 @@
             with anyio.CancelScope() as scope:
                 scope.cancel()
                 await anyio.sleep_forever()
-            went_on.set()
+            resumed.set()
 
 
 def free_port() -> int:
@@ -126,19 +128,19 @@
     return Peer(name, ProcessRole.AGENT, Address(*sock.getsockname()[:2]))
 
 
-def link_to(peer: Peer, end: End) -> Link:
+def link_to(peer: Peer, end: RecordingEnd) -> Link:
     return Link(peer, end, Prover(KEY, "near"), SystemClock(), random.Random(1))
 
 
 class LinkTest(unittest.IsolatedAsyncioTestCase):
-    """Links that one end keeps up."""
+    """Tests of links that the client keeps open."""
 
     async def test_one_dead_peer_leaves_the_other_links_up(self) -> None:
-        """An entry refuses every call after one of its many endpoints has died.
+        """Guards against an entry that refuses every call after one of its endpoints failed.
 
-        The connection of one link breaks. grpclib wakes the task of that link by a cancellation
-        that it does not withdraw. The task's next cancel scope passed it on, and the task group
-        that holds all links of the process ended without a word.
+        When the connection of a link breaks, grpclib cancels the link's task and does not withdraw
+        the cancellation. The task's next cancel scope propagated it, which silently ended the task
+        group that holds all links of the process.
         """
         dying, living = bind(LOCAL), bind(LOCAL)
         first = await start("dying", KEY, dying)
@@ -164,14 +166,14 @@
         await second.stop()
 
     async def test_a_peer_that_comes_back_is_linked_again(self) -> None:
-        """An endpoint whose agent was restarted gets no work for ever.
+        """Guards against an endpoint that never gets work again after its agent restarted.
 
-        The agent ends and another process takes its address. The link must find it by itself.
+        The agent ends and a new process listens at its address. The link must reconnect to it.
         """
         sock = bind(LOCAL)
         address = Address(*sock.getsockname()[:2])
         server = await start("far", KEY, sock)
-        end = End("near")
+        end = RecordingEnd("near")
         with anyio.fail_after(20):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(link_to(Peer("far", ProcessRole.AGENT, address), end).run)
@@ -184,13 +186,13 @@
         await server.stop()
 
     async def test_another_process_at_the_address_is_not_taken_for_the_peer(self) -> None:
-        """Requests for one endpoint would go by the reports of another.
+        """Guards against routing requests for one endpoint by the reports of another.
 
-        An address was given to another VM; its agent answers with its own name.
+        The address was reassigned to another VM, whose agent answers with its own name.
         """
         sock = bind(LOCAL)
         server = await start("stranger", KEY, sock)
-        end = End("near")
+        end = RecordingEnd("near")
         with anyio.fail_after(20):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(link_to(peer_at(sock), end).run)
@@ -201,13 +203,13 @@
         self.assertIn("stranger answers for far", end.lost[0])
 
     async def test_a_stranger_without_the_key_gets_no_link(self) -> None:
-        """A process of another system reads reports and gives them.
+        """Guards against exchanging reports with a process of another system.
 
-        It was given the address by mistake and signs with its own key.
+        The process was configured with the address by mistake and signs with its own key.
         """
         sock = bind(LOCAL)
         server = await start("far", "a key of another fleet", sock)
-        end = End("near")
+        end = RecordingEnd("near")
         with anyio.fail_after(20):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(link_to(peer_at(sock), end).run)
@@ -218,13 +220,13 @@
 
 
 class CallTest(unittest.IsolatedAsyncioTestCase):
-    """Calls over channels that break."""
+    """Tests of calls over channels that break."""
 
     async def test_a_connection_that_is_reset_is_a_lost_call(self) -> None:
-        """An agent ends while it starts, with an AttributeError.
+        """Guards against an agent that ends with an AttributeError during its start.
 
-        A peer accepts its connection and resets it at once; the library then fails inside itself
-        in some of the calls, and the error ended the process.
+        A peer accepts the connection and resets it at once. grpclib then raises an internal error
+        in some of the calls, which ended the process.
         """
         client = CallClient(Prover(KEY, "near"))
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
@@ -245,13 +247,13 @@
         client.close()
 
     async def test_a_lost_call_leaves_the_caller_cancellable(self) -> None:
-        """A process that asked a dying peer cannot be stopped in order afterwards.
+        """Guards against a process that cannot shut down cleanly after calling a failing peer.
 
-        The call is lost with its connection; the caller's task still counts as being cancelled,
-        and the next cancel scope that ends in it does not catch its own cancellation.
+        The call is lost with its connection, but the caller's task still counts as being
+        cancelled, and its next cancel scope to exit does not catch its own cancellation.
         """
         sock = bind(LOCAL)
-        entered, went_on = anyio.Event(), anyio.Event()
+        entered, resumed = anyio.Event(), anyio.Event()
 
         async def never(sender: str, request: FilesRequest) -> FilesReply:
             entered.set()
@@ -271,8 +273,10 @@
                     broken.cut_open()
 
                 tasks.start_soon(cut_once_entered)
-                tasks.start_soon(call_and_go_on, client, Address.parse(address), went_on)
-                await went_on.wait()
+                tasks.start_soon(
+                    call_then_check_cancellation, client, Address.parse(address), resumed
+                )
+                await resumed.wait()
                 tasks.cancel_scope.cancel()
         client.close()
         await server.stop()
--- a/tests/test_relay_poison.py
+++ b/tests/test_relay_poison.py
@@ -133,7 +133,7 @@
 
         def replies(sequence: int, incarnation: int) -> None:
             reply = HeartbeatReply(sequence=sequence, incarnation=incarnation, version=1, digest="")
-            first.replied(peer, reply, 0.0)
+            first.reply_received(peer, reply, 0.0)
 
         self.assertEqual(first.ends(peer, 1), ())
         replies(1, incarnation=5)
