--- a/carawayhub/peers/calls.py
+++ b/carawayhub/peers/calls.py
@@ -41,7 +41,7 @@
 
     Args:
         prover: Signs outgoing calls.
-        source: IP number to connect from, empty for any.
+        source: IP address to connect from, empty for any.
 
     Calls to one peer share a channel. After a failure the channel accepts no new calls, because
     the connection may have failed rather than the peer. Calls still in flight on it complete
--- a/carawayhub/peers/channels.py
+++ b/carawayhub/peers/channels.py
@@ -17,7 +17,7 @@
 
     Args:
         address: The peer.
-        source: IP number to connect from, empty for any.
+        source: IP address to connect from, empty for any.
         codec: Encodes messages.
         config: Options of ``grpclib``.
     """
--- a/carawayhub/peers/links.py
+++ b/carawayhub/peers/links.py
@@ -66,7 +66,7 @@
     """Callbacks of the process that opens links."""
 
     def hello(self) -> Hello:
-        """Return the introduction of this process."""
+        """Return the first message of this process on a link."""
 
     def heartbeat(self, peer: Peer, sequence: int) -> Heartbeat:
         """Return the next heartbeat for ``peer``."""
@@ -101,7 +101,7 @@
         prover: Signs the stream request.
         clock: Source of time.
         rng: Source of jitter.
-        source: IP number to connect from, empty for any.
+        source: IP address to connect from, empty for any.
     """
 
     __slots__ = ("_clock", "_codec", "_owner", "_prover", "_rng", "_sent", "_source", "peer")
@@ -175,7 +175,7 @@
         await stream.send_message(self._owner.hello())
         answer = await stream.recv_message()
         if not isinstance(answer, Hello):
-            raise PeerError(Code.PEER_PROTOCOL, "expected Hello as the first message from the peer")
+            raise PeerError(Code.PEER_PROTOCOL, "the peer did not introduce itself")
         if answer.name != self.peer.name:
             raise PeerError(Code.PEER_ID_MISMATCH, f"{answer.name} answers for {self.peer.name}")
         self._owner.link_up(self.peer, answer)
@@ -225,5 +225,5 @@
 
 def _reason(exc: BaseException) -> str:
     if isinstance(exc, TimeoutError):
-        return "no reply within the timeout"
+        return "silent past the timeout"
     return str(exc) or type(exc).__name__
--- a/carawayhub/peers/server.py
+++ b/carawayhub/peers/server.py
@@ -28,7 +28,7 @@
     changed: Signal
 
     def hello(self) -> Hello:
-        """Return the introduction of this process."""
+        """Return the first message of this process on a link."""
 
     def intervals(self) -> Intervals:
         """Return the intervals now in force."""
