--- a/carawayhub/peers/proofs.py
+++ b/carawayhub/peers/proofs.py
@@ -52,10 +52,7 @@
         nonce = str(fields.get(NONCE, ""))
         proof = str(fields.get(PROOF, ""))
         if not nonce or not hmac.compare_digest(proof, self._mac(method, sender, nonce)):
-            raise PeerError(
-                Code.PEER_UNAUTHENTICATED,
-                f"{method} from {sender or 'nobody'}",
-            )
+            raise PeerError(Code.PEER_UNAUTHENTICATED, f"{method} from {sender or 'nobody'}")
         if nonce in self._seen:
             raise PeerError(Code.PEER_UNAUTHENTICATED, f"{method} repeats a nonce of {sender}")
         self._seen[nonce] = None
--- a/carawayhub/peers/server.py
+++ b/carawayhub/peers/server.py
@@ -108,10 +108,7 @@
         self._authenticate(LINK.path, stream)
         peer = await stream.recv_message()
         if not isinstance(peer, Hello):
-            raise GRPCError(
-                Status.INVALID_ARGUMENT,
-                f"code {int(Code.PEER_PROTOCOL)}: no hello",
-            )
+            raise GRPCError(Status.INVALID_ARGUMENT, f"code {int(Code.PEER_PROTOCOL)}: no hello")
         await stream.send_message(self._links.hello())
         lock = anyio.Lock()
         try:
