--- a/carawayhub/gateway/process.py
+++ b/carawayhub/gateway/process.py
@@ -35,7 +35,7 @@
 from carawayhub.http import ConnectionLimits, HttpServer, bind
 from carawayhub.limits.poison import PoisonRecords
 from carawayhub.limits.replicarate import ReplicaRates
-from carawayhub.peers.pace import LinkPace
+from carawayhub.peers.pace import LinkPacer
 
 DIRECTORY_TTL_FACTOR = 3.0
 """Some callers cache an answer of the directory for this multiple of the stated time."""
@@ -173,7 +173,7 @@
             options.content_port,
             state.mirror,
             self._gossip,
-            LinkPace(clock, options.link_rate),
+            LinkPacer(clock, options.link_rate),
         )
         self._follower = Follower(
             state,
--- a/carawayhub/process/role.py
+++ b/carawayhub/process/role.py
@@ -38,7 +38,7 @@
     def vm_list_received(self, vms: VmList) -> None:
         """Apply a VM list."""
 
-    def replied(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
+    def reply_received(self, peer: Peer, reply: HeartbeatReply, asked_at: float) -> None:
         """Process a reply on a link that this process opened."""
 
     def peer_lost(self, peer: Peer) -> None:
